--- a/appconfig/app.go
+++ b/appconfig/app.go
@@ -80,13 +80,13 @@
 // The layout's words; the first of each pair is the old shape's.
 const (
 	ListPushed     = "pushed"
-	ListAsked      = "asked"
+	ListOnDemand   = "asked"
 	RatesListed    = "listed"
 	RatesNone      = "none"
 	RefusalsPriced = "priced"
 	RefusalsFree   = "free"
-	LateLine       = "line"
-	LateHalves     = "halves"
+	LateLinear     = "line"
+	LateHalving    = "halves"
 )
 
 // Zone is where endpoints stand, and what a notification costs that a route apart there takes on.
@@ -97,8 +97,8 @@
 
 // Whether the endpoints of a partner share its limit, or are routes with a limit, a pace and outages each.
 const (
-	RoutesShared = "shared"
-	RoutesApart  = "apart"
+	RoutesShared   = "shared"
+	RoutesSeparate = "apart"
 )
 
 // The repeat kinds, as people write them.
--- a/appconfig/appconfig_test.go
+++ b/appconfig/appconfig_test.go
@@ -94,12 +94,12 @@
 	}
 	a, _ := appconfig.Parse("billing.toml", text)
 	b, _ := appconfig.Parse("meters.toml", []byte(strings.NewReplacer(`"billing"`, `"meters"`, "rate = 15.0", "rate = 12.0").Replace(string(text))))
-	for _, f := range appconfig.Fleet([]*appconfig.App{a, b}) {
+	for _, f := range appconfig.CheckFleet([]*appconfig.App{a, b}) {
 		fmt.Println(f)
 	}
 	c, _ := appconfig.Parse("new.toml", []byte(strings.Replace(string(text), `"once-only"`, `"repeatable"`, 1)))
-	fmt.Println(appconfig.Reload(a, c)[0])
-	fmt.Println(len(appconfig.Reload(a, a)))
+	fmt.Println(appconfig.CheckReload(a, c)[0])
+	fmt.Println(len(appconfig.CheckReload(a, a)))
 	// Output:
 	// billing.toml:15: dispatcher.slots: OD006: 0 is not from 2 to 1e+06. Give one in the range.
 	// billing.toml:44: topics[2].repeat: OD008: "sometimes" is no repeat kind. Say repeatable, collapsible or once-only: if a second effect would cost somebody, once-only.
@@ -119,7 +119,7 @@
 	if len(found) > 0 {
 		t.Fatal(found)
 	}
-	text, err := a.Platform()
+	text, err := a.PlatformConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,8 +128,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Module(1, directory.New()); err != nil || v.Batch()["bulk"] != 20 || v.Text("classes.2.repeat") != "single_shot" {
-		t.Error(err, v.Batch(), v.Text("classes.2.repeat"))
+	if _, err := v.NewModule(1, directory.New()); err != nil || v.BatchSizes()["bulk"] != 20 || v.Text("classes.2.repeat") != "single_shot" {
+		t.Error(err, v.BatchSizes(), v.Text("classes.2.repeat"))
 	}
 }
 
@@ -159,7 +159,7 @@
 	if len(found) > 0 {
 		t.Fatal(found)
 	}
-	got, err := a.Platform()
+	got, err := a.PlatformConfig()
 	if err != nil || string(got)+"\n" != string(want) {
 		t.Errorf("%v, not as before:\n%s", err, got)
 	}
@@ -176,10 +176,10 @@
 	if next == nil || len(found) > 0 || len(appconfig.Check(next)) > 0 {
 		t.Fatalf("refused: %v\n%s", append(found, appconfig.Check(next)...), text)
 	}
-	if old.New() || !next.New() || next.Topics[2] != old.Topics[2] || next.Dispatcher != old.Dispatcher {
+	if old.UsesNewLayout() || !next.UsesNewLayout() || next.Topics[2] != old.Topics[2] || next.Dispatcher != old.Dispatcher {
 		t.Errorf("not the same where it should be, or of the wrong shape:\n%s", text)
 	}
-	form, err := next.Platform()
+	form, err := next.PlatformConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 		}
 	}
 	for _, want := range []string{"line 60: partners[0].rate: not carried over: 10 a second", "zones[0].fee: fill in", "partners[1].routes: fill in"} {
-		if !slices.ContainsFunc(notes, func(n appconfig.Note) bool { return strings.HasPrefix(n.String(), want) }) {
+		if !slices.ContainsFunc(notes, func(n appconfig.MigrationNote) bool { return strings.HasPrefix(n.String(), want) }) {
 			t.Errorf("%q is not told: %v", want, notes)
 		}
 	}
--- a/appconfig/platform.go
+++ b/appconfig/platform.go
@@ -8,9 +8,9 @@
 // repeats are the platform's words for the repeat kinds.
 var repeats = map[string]string{Repeatable: "free", Collapsible: "guarded", OnceOnly: "single_shot"}
 
-// Platform is the application's configuration in the platform's form, which ROUTER_CONFIG names. The partners' endpoints
+// PlatformConfig is the application's configuration in the platform's form, which ROUTER_CONFIG names. The partners' endpoints
 // are its list known last.
-func (a *App) Platform() ([]byte, error) {
+func (a *App) PlatformConfig() ([]byte, error) {
 	const ms = 1000
 	var kinds []string
 	var batch []int
@@ -19,7 +19,7 @@
 	servers := []map[string]any{}
 	for _, p := range a.Partners {
 		if !slices.Contains(kinds, p.Kind) {
-			kinds, batch, apart = append(kinds, p.Kind), append(batch, p.Batch), append(apart, p.Routes == RoutesApart)
+			kinds, batch, apart = append(kinds, p.Kind), append(batch, p.Batch), append(apart, p.Routes == RoutesSeparate)
 		}
 		for _, e := range p.Endpoints {
 			zone := e.Zone
@@ -48,14 +48,14 @@
 	if fees := a.fees(zones); slices.Max(append(fees, 0)) > 0 {
 		family["fee-by-zone"] = fees
 	}
-	if a.Layout.Late == LateHalves {
+	if a.Layout.Late == LateHalving {
 		family["loses-worth"] = "halves"
 	}
 	if a.Layout.Refusals == RefusalsFree {
 		family["refusal-cost"] = 0
 	}
 	list, weights := "push", "nominal"
-	if a.Layout.List == ListAsked {
+	if a.Layout.List == ListOnDemand {
 		list = "ask"
 	}
 	if a.Layout.Rates == RatesNone {
--- a/appconfig/read.go
+++ b/appconfig/read.go
@@ -25,7 +25,7 @@
 	a := &App{File: file, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 3}, Ledger: Ledger{Sync: "none"},
 		Dispatcher: Dispatcher{Count: 1, Slots: 32, Held: 400, Pushes: 8, Tick: Duration{0.005}, Dial: Duration{1.5}, Idle: Duration{15}},
 		Returns:    Returns{ColdFrom: 0.2, ColdSpan: Duration{14}, Multiple: 2, Fall: Duration{1.5}},
-		Layout:     Layout{List: ListPushed, Rates: RatesListed, Refusals: RefusalsPriced, Late: LateLine}}
+		Layout:     Layout{List: ListPushed, Rates: RatesListed, Refusals: RefusalsPriced, Late: LateLinear}}
 	d := toml.NewDecoder(strings.NewReader(string(text)))
 	d.DisallowUnknownFields()
 	err := d.Decode(a)
--- a/appconfig/rules.go
+++ b/appconfig/rules.go
@@ -31,9 +31,9 @@
 
 // Rule is a check by its name.
 type Rule struct {
-	ID     string `json:"id"`
-	What   string `json:"what"`
-	Remedy string `json:"remedy"`
+	ID          string `json:"id"`
+	Description string `json:"what"`
+	Remedy      string `json:"remedy"`
 }
 
 // The rules. Numbers are never given again.
@@ -245,8 +245,8 @@
 // layout judges how the platform is said to be laid out.
 func (c *checker) layout() {
 	l := c.Layout
-	for _, x := range []struct{ key, v, old, next string }{{"list", l.List, ListPushed, ListAsked}, {"rates", l.Rates, RatesListed, RatesNone},
-		{"refusals", l.Refusals, RefusalsPriced, RefusalsFree}, {"late", l.Late, LateLine, LateHalves}} {
+	for _, x := range []struct{ key, v, old, next string }{{"list", l.List, ListPushed, ListOnDemand}, {"rates", l.Rates, RatesListed, RatesNone},
+		{"refusals", l.Refusals, RefusalsPriced, RefusalsFree}, {"late", l.Late, LateLinear, LateHalving}} {
 		if x.v != x.old && x.v != x.next {
 			c.bad(layoutWord, "layout."+x.key, "%q is neither %q nor %q", x.v, x.old, x.next)
 		}
@@ -256,7 +256,7 @@
 		if _, ok := routes[p.Kind]; !ok {
 			routes[p.Kind] = p.Routes
 		}
-		if p.Routes != RoutesShared && p.Routes != RoutesApart || p.Routes != routes[p.Kind] {
+		if p.Routes != RoutesShared && p.Routes != RoutesSeparate || p.Routes != routes[p.Kind] {
 			c.bad(routeWord, fmt.Sprintf("partners[%d].routes", i), "%q for %q, of kind %q", p.Routes, p.Name, p.Kind)
 		}
 		for _, e := range p.Endpoints {
@@ -301,8 +301,8 @@
 	}
 }
 
-// Fleet tells what is wrong between applications that each are good.
-func Fleet(all []*App) []Finding {
+// CheckFleet tells what is wrong between applications that each are good.
+func CheckFleet(all []*App) []Finding {
 	type claim struct {
 		app  *App
 		key  string
@@ -347,8 +347,8 @@
 	return found
 }
 
-// Reload tells what keeps a new file from taking an old one's place while the process runs.
-func Reload(old, next *App) []Finding {
+// CheckReload tells what keeps a new file from taking an old one's place while the process runs.
+func CheckReload(old, next *App) []Finding {
 	c := &checker{App: next}
 	for i, t := range next.Topics {
 		for _, was := range old.Topics {
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -22,12 +22,12 @@
 type Source struct {
 	Wall      func() time.Time              // the time of day, which anybody may step
 	SinceBoot func() (time.Duration, error) // real time since the machine started
-	Boot      func() (string, error)        // names the start that SinceBoot counts from
+	BootID    func() (string, error)        // names the start that SinceBoot counts from
 }
 
-// Machine is the source of the machine that the process runs on.
-func Machine() Source {
-	return Source{Wall: time.Now, SinceBoot: sinceBoot, Boot: func() (string, error) {
+// SystemSource is the source of the machine that the process runs on.
+func SystemSource() Source {
+	return Source{Wall: time.Now, SinceBoot: sinceBoot, BootID: func() (string, error) {
 		id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 		return strings.TrimSpace(string(id)), err
 	}}
@@ -44,12 +44,12 @@
 	return time.Duration(now.Nano()), nil
 }
 
-// ErrUnread tells that the folder holds an offset that could not be read now. A clock that starts without it may be wrong by
+// ErrOffsetUnreadable tells that the folder holds an offset that could not be read now. A clock that starts without it may be wrong by
 // a step of the time of day; another try may read it.
-var ErrUnread = errors.New("the clock's offset could not be read")
+var ErrOffsetUnreadable = errors.New("the clock's offset could not be read")
 
-// Name is the file that holds the offset.
-const Name = "clock"
+// FileName is the file that holds the offset.
+const FileName = "clock"
 
 // Clock is a process's clock.
 type Clock struct {
@@ -64,8 +64,8 @@
 // began.
 func (c *Clock) Now() float64 { return c.base + time.Since(c.start).Seconds() }
 
-// Keep puts into the folder by how much the clock is ahead of the time since the machine's start.
-func (c *Clock) Keep() error {
+// Save puts into the folder by how much the clock is ahead of the time since the machine's start.
+func (c *Clock) Save() error {
 	if c.line == "" { // the machine cannot tell that time
 		return nil
 	}
@@ -77,7 +77,7 @@
 // runs, and the error says why a step of the time of day before the next process would go unnoticed; Keep may be tried again.
 func Open(folder disk.Folder, s Source, sync bool) (*Clock, error) {
 	c := &Clock{start: time.Now(), base: float64(s.Wall().UnixNano()) / float64(time.Second), folder: folder, sync: sync}
-	boot, err := s.Boot()
+	boot, err := s.BootID()
 	if err != nil {
 		return c, err
 	}
@@ -87,20 +87,20 @@
 	}
 	before, known, err := kept(folder, boot)
 	if err != nil {
-		return c, fmt.Errorf("%w: %w", ErrUnread, err)
+		return c, fmt.Errorf("%w: %w", ErrOffsetUnreadable, err)
 	}
 	if known {
 		c.base = before + since.Seconds()
 		return c, nil
 	}
 	c.line = format(boot, c.base-since.Seconds())
-	return c, c.Keep()
+	return c, c.Save()
 }
 
 // kept is the offset that the folder holds for a start of the machine, if it does.
 func kept(folder disk.Folder, boot string) (offset float64, known bool, err error) {
 	names, err := folder.List()
-	if err != nil || !slices.Contains(names, Name) {
+	if err != nil || !slices.Contains(names, FileName) {
 		return 0, false, err
 	}
 	text, err := read(folder)
@@ -134,7 +134,7 @@
 const mostLine = 256
 
 func read(folder disk.Folder) (string, error) {
-	f, err := folder.Open(Name)
+	f, err := folder.Open(FileName)
 	if err != nil {
 		return "", err
 	}
@@ -148,13 +148,13 @@
 }
 
 func write(folder disk.Folder, line string, sync bool) error {
-	f, err := folder.Create(Name)
+	f, err := folder.Create(FileName)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	if n, err := f.WriteAt([]byte(line), 0); err != nil || n < len(line) {
-		return errors.Join(err, fmt.Errorf("%s: %d bytes written of %d", Name, n, len(line)))
+		return errors.Join(err, fmt.Errorf("%s: %d bytes written of %d", FileName, n, len(line)))
 	}
 	if !sync {
 		return nil
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -14,7 +14,7 @@
 func TestOpen(t *testing.T) {
 	wall, since, boot := time.Unix(1e9, 0), 5*time.Second, "b1"
 	s := Source{Wall: func() time.Time { return wall }, SinceBoot: func() (time.Duration, error) { return since, nil },
-		Boot: func() (string, error) { return boot, nil }}
+		BootID: func() (string, error) { return boot, nil }}
 	folder := faulty.New()
 	for _, step := range []struct {
 		name   string
@@ -28,10 +28,10 @@
 		{"first", 0, 0, "b1", func() {}, 0, false},
 		{"forward", time.Hour, 3 * time.Second, "b1", func() {}, 3, false},
 		{"back", -2 * time.Hour, 4 * time.Second, "b1", func() {}, 7, false},
-		{"torn", time.Hour, time.Second, "b1", func() { folder.Put(Name, folder.Bytes(Name)[:9]) }, 0, false},
+		{"torn", time.Hour, time.Second, "b1", func() { folder.Put(FileName, folder.Content(FileName)[:9]) }, 0, false},
 		{"went on from there", time.Hour, time.Second, "b1", func() {}, 1, false},
 		{"another start of the machine", time.Second, -12 * time.Second, "b2", func() {}, 3601, false},
-		{"not written", 0, 0, "b3", func() { folder.Fail = syscall.ENOSPC }, 3601, true},
+		{"not written", 0, 0, "b3", func() { folder.WriteErr = syscall.ENOSPC }, 3601, true},
 		{"kept later", time.Hour, time.Second, "b3", func() {}, 3602, false},
 	} {
 		wall, since, boot = wall.Add(step.wall), since+step.since, step.boot
@@ -40,10 +40,10 @@
 		if got := c.Now() - 1e9; got < step.want || got > step.want+1 || (err != nil) != step.fails {
 			t.Errorf("%s: %.3f, %v; want %.0f", step.name, got, err, step.want)
 		}
-		if folder.Fail = nil; err != nil && c.Keep() != nil {
+		if folder.WriteErr = nil; err != nil && c.Save() != nil {
 			t.Errorf("%s: not kept by another try", step.name)
 		}
-		if errors.Is(err, ErrUnread) {
+		if errors.Is(err, ErrOffsetUnreadable) {
 			t.Errorf("%s: %v, and nothing was unread", step.name, err)
 		}
 	}
--- a/cmd/orchiddrift/config.go
+++ b/cmd/orchiddrift/config.go
@@ -42,7 +42,7 @@
 	check := func(cmd *cobra.Command, files []string) error {
 		all, found := readApps(files)
 		if len(found) == 0 {
-			found = appconfig.Fleet(all)
+			found = appconfig.CheckFleet(all)
 		}
 		return tell(cmd.OutOrStdout(), found)
 	}
@@ -65,7 +65,7 @@
 				if len(found) > 0 {
 					return tell(cmd.ErrOrStderr(), found)
 				}
-				text, err := all[0].Platform()
+				text, err := all[0].PlatformConfig()
 				if err == nil {
 					_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s\n", text)
 				}
@@ -75,7 +75,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error {
 				all, found := readApps(args)
 				if len(found) == 0 {
-					found = appconfig.Reload(all[0], all[1])
+					found = appconfig.CheckReload(all[0], all[1])
 				}
 				return tell(cmd.OutOrStdout(), found)
 			}},
@@ -89,7 +89,7 @@
 				}
 				t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 				for _, r := range appconfig.Rules() {
-					fmt.Fprintf(t, "%s\t%s\t%s\n", r.ID, r.What, r.Remedy)
+					fmt.Fprintf(t, "%s\t%s\t%s\n", r.ID, r.Description, r.Remedy)
 				}
 				return failed(t.Flush())
 			}},
@@ -115,7 +115,7 @@
 			return failed(fmt.Errorf("%s%s", found[0], more))
 		}
 		old := all[0]
-		if old.New() {
+		if old.UsesNewLayout() {
 			return failed(fmt.Errorf("%s: is already of the new shape: it states its layout, zones or routes", args[0]))
 		}
 		text, notes, err := appconfig.Migrate(old)
--- a/cmd/orchiddrift/ledger.go
+++ b/cmd/orchiddrift/ledger.go
@@ -20,18 +20,18 @@
 	var diskMB float64
 	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
 	c.PersistentFlags().Float64Var(&diskMB, "disk-mb", 3, "the folder's limit, as the dispatcher is configured with")
-	show := func(to io.Writer, r ledger.Report, owed []ledger.Owed) error {
+	show := func(to io.Writer, r ledger.Report, owed []ledger.Pending) error {
 		if asJSON {
 			return showJSON(to, r, owed)
 		}
 		return showText(to, r, owed)
 	}
-	read := func(path string) (ledger.Report, []ledger.Owed, error) {
-		folder, err := disk.ReadDir(path)
+	read := func(path string) (ledger.Report, []ledger.Pending, error) {
+		folder, err := disk.OpenDirReadOnly(path)
 		if err != nil {
 			return ledger.Report{}, nil, err
 		}
-		l, owed, r, err := ledger.Open(folder, ledger.Options{Limit: int(diskMB * 1e6), Read: true})
+		l, owed, r, err := ledger.Open(folder, ledger.Options{Limit: int(diskMB * 1e6), ReadOnly: true})
 		if err != nil {
 			return r, nil, err
 		}
@@ -100,14 +100,14 @@
 }
 
 // lineOf says what the ledger holds of a notification.
-func lineOf(o ledger.Owed) owedLine {
+func lineOf(o ledger.Pending) owedLine {
 	m := o.Message
-	l := owedLine{ID: m.ID, Topic: m.Topic, Dest: m.Dest, Pushes: m.Pushes, State: o.State().String(), MayRun: m.RanAt > 0, Until: m.Until}
+	l := owedLine{ID: m.ID, Topic: m.Topic, Dest: m.Dest, Pushes: m.Pushes, State: o.State().String(), MayRun: m.RanAt > 0, Until: m.ExpiresAt}
 	if m.RanAt > 0 {
 		l.Ran = &callLine{Call: m.RanCall, At: m.RanAt, To: m.RanTo, Zone: m.RanZone}
 	}
-	if o.Last.End != ledger.NeverCalled {
-		l.Last = &callLine{Call: o.Last.Call, At: o.Last.At, To: o.Last.To, End: string(o.Last.End)}
+	if o.LastCall.End != ledger.EndNone {
+		l.Last = &callLine{Call: o.LastCall.Number, At: o.LastCall.StartedAt, To: o.LastCall.Endpoint, End: string(o.LastCall.End)}
 	}
 	if o.Notice != nil {
 		l.Notice = o.Notice.Outcome
@@ -116,7 +116,7 @@
 }
 
 // showJSON prints the report and all that is owed as one object.
-func showJSON(to io.Writer, r ledger.Report, owed []ledger.Owed) error {
+func showJSON(to io.Writer, r ledger.Report, owed []ledger.Pending) error {
 	lines := []owedLine{}
 	for _, o := range owed {
 		lines = append(lines, lineOf(o))
@@ -127,13 +127,13 @@
 }
 
 // showText prints the report and a line for each notification owed.
-func showText(to io.Writer, r ledger.Report, owed []ledger.Owed) error {
+func showText(to io.Writer, r ledger.Report, owed []ledger.Pending) error {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "segments\t%d, and %d free files\n", r.Segments, r.Free)
 	fmt.Fprintf(t, "records\t%d in %d bytes\n", r.Records, r.Bytes)
-	fmt.Fprintf(t, "owed\t%d, counted as %d bytes\n", r.Owed, r.Live)
+	fmt.Fprintf(t, "owed\t%d, counted as %d bytes\n", r.Pending, r.LiveBytes)
 	for _, d := range r.Damaged {
-		fmt.Fprintf(t, "damaged\t%s from byte %d on, %d bytes\n", d.File, d.At, d.Bytes)
+		fmt.Fprintf(t, "damaged\t%s from byte %d on, %d bytes\n", d.File, d.Offset, d.Bytes)
 	}
 	for _, o := range owed {
 		l := lineOf(o)
--- a/cmd/orchiddrift/main.go
+++ b/cmd/orchiddrift/main.go
@@ -56,7 +56,7 @@
 func newRoot() *cobra.Command {
 	var level, format, profile string
 	run := func(cmd *cobra.Command, _ []string) error {
-		logs, err := dispatcher.NewLogs(os.Stderr, level, format)
+		logs, err := dispatcher.NewLogOptions(os.Stderr, level, format)
 		if err != nil {
 			return err
 		}
--- a/cmd/orchiddrift/soak.go
+++ b/cmd/orchiddrift/soak.go
@@ -47,7 +47,7 @@
 func newSoakChild() *cobra.Command {
 	debug := false
 	c := &cobra.Command{Use: "soak-child", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		logs := dispatcher.Logs{To: os.Stderr, Level: zerolog.InfoLevel}
+		logs := dispatcher.LogOptions{Output: os.Stderr, Level: zerolog.InfoLevel}
 		if debug {
 			logs.Level = zerolog.DebugLevel
 		}
--- a/cmd/simhost/boot.go
+++ b/cmd/simhost/boot.go
@@ -14,14 +14,14 @@
 func newInstance(line simwire.Line) (*instance, error) {
 	seed, err := strconv.ParseUint(line.Values[0], 10, 64)
 	if err != nil {
-		return nil, line.Bad("prng", line.Values[0])
+		return nil, line.FieldError("prng", line.Values[0])
 	}
 	s, err := settings.FromPairs(line.Values[1:])
 	if err != nil {
 		return nil, fmt.Errorf("line %d: %s: %w", line.Number, line.Name, err)
 	}
 	dir := directory.New()
-	m, err := s.Module(seed, dir)
+	m, err := s.NewModule(seed, dir)
 	if err != nil {
 		return nil, fmt.Errorf("line %d: %s: %w", line.Number, line.Name, err)
 	}
--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -45,7 +45,7 @@
 }
 
 func (f *fields) report(i int, name string) map[string]float64 {
-	v, err := f.Report(i, name)
+	v, err := f.LoadReport(i, name)
 	return read(f, v, err)
 }
 
@@ -58,18 +58,18 @@
 	f := &fields{Line: line}
 	if line.Name == "NEW_INSTANCE" {
 		if len(line.Values) == 0 {
-			return line.Want(1)
+			return line.RequireValues(1)
 		}
 	} else if width, ok := widths[line.Name]; !ok {
 		return fmt.Errorf("line %d: unknown event %q", line.Number, line.Name)
-	} else if err := line.Want(width); err != nil {
+	} else if err := line.RequireValues(width); err != nil {
 		return err
 	}
 	switch line.Name {
 	case "TO":
 		h.current = f.int(0, "i")
 		if f.err == nil && (h.current < 0 || line.Values[0] == simwire.Absent) {
-			f.err = line.Bad("i", line.Values[0])
+			f.err = line.FieldError("i", line.Values[0])
 		}
 		return f.err
 	case "DEFINE_LIST":
@@ -101,11 +101,11 @@
 		return h.update(f, x)
 	case "REQ":
 		ntf := decide.Notification{ID: f.text(0, "corr"), Topic: f.text(1, "grade"), Tenant: line.Optional(2),
-			Key: line.Optional(3), Left: f.seconds(4, "left-ms"), Dest: f.text(6, "addressee-no")}
+			Key: line.Optional(3), TimeLeft: f.seconds(4, "left-ms"), Dest: f.text(6, "addressee-no")}
 		f.float(5, "hint-ms")
 		f.int(7, "attrs")
 		if _, known := x.module.TTL(ntf.Topic); f.err == nil && !known {
-			f.err = line.Bad("grade", ntf.Topic)
+			f.err = line.FieldError("grade", ntf.Topic)
 		}
 		if f.err != nil {
 			return f.err
@@ -115,46 +115,46 @@
 	case "RESPONSE":
 		report := f.report(7, "telemetry")
 		note := f.int(3, "wait-ms")
-		o := decide.Outcome{Ntf: f.text(0, "corr"), Over: f.bool(1, "complete"), Result: result(f, 2),
-			Endpoint: f.text(4, "endpoint"), Push: int(f.int(5, "go")), Latency: f.seconds(6, "latency-ms")}
+		o := decide.Outcome{NotificationID: f.text(0, "corr"), Final: f.bool(1, "complete"), Result: result(f, 2),
+			Endpoint: f.text(4, "endpoint"), PushNumber: int(f.int(5, "go")), Latency: f.seconds(6, "latency-ms")}
 		if o.Result == decide.Throttled {
 			o.Wait = float64(note) / 1000
 		}
-		o.NoSlot = o.Result == decide.Moot && note == 1
-		_, o.Reported = report["x0"]
-		o.Share, o.Limit = report["x0"], report["x1"]
+		o.NoSlot = o.Result == decide.NotAttempted && note == 1
+		_, o.LimitReported = report["x0"]
+		o.LimitLeft, o.Limit = report["x0"], report["x1"]
 		if f.err != nil {
 			return f.err
 		}
-		h.guarded(i, func() { h.answer(i, x, x.module.After(h.now, o)) })
-		x.out[o.Ntf]--
-		if o.Over || x.over[o.Ntf] {
-			x.finish(o.Ntf)
+		h.guarded(i, func() { h.answer(i, x, x.module.HandleOutcome(h.now, o)) })
+		x.out[o.NotificationID]--
+		if o.Final || x.over[o.NotificationID] {
+			x.finish(o.NotificationID)
 		}
 	case "CLIENT_GONE":
-		o := decide.Outcome{Ntf: f.text(0, "corr"), Result: decide.Withdrawn, Over: true}
+		o := decide.Outcome{NotificationID: f.text(0, "corr"), Result: decide.Withdrawn, Final: true}
 		if f.err != nil {
 			return f.err
 		}
-		h.guarded(i, func() { h.answer(i, x, x.module.After(h.now, o)) })
-		x.finish(o.Ntf)
+		h.guarded(i, func() { h.answer(i, x, x.module.HandleOutcome(h.now, o)) })
+		x.finish(o.NotificationID)
 	case "PROBE_RESULT":
 		report := f.report(3, "telemetry")
 		o := decide.Outcome{Endpoint: f.text(0, "endpoint"), Result: result(f, 1),
 			Latency: f.seconds(2, "latency-ms")}
-		_, o.Reported = report["x0"]
-		o.Share, o.Limit = report["x0"], report["x1"]
+		_, o.LimitReported = report["x0"]
+		o.LimitLeft, o.Limit = report["x0"], report["x1"]
 		if f.err != nil {
 			return f.err
 		}
-		h.guarded(i, func() { h.answer(i, x, x.module.After(h.now, o)) })
+		h.guarded(i, func() { h.answer(i, x, x.module.HandleOutcome(h.now, o)) })
 	case "INBOX":
 		f.int(0, "src-peer")
-		o := decide.Outcome{Result: decide.Note}
+		o := decide.Outcome{Result: decide.PeerMessage}
 		if f.err != nil {
 			return f.err
 		}
-		h.guarded(i, func() { h.answer(i, x, x.module.After(h.now, o)) })
+		h.guarded(i, func() { h.answer(i, x, x.module.HandleOutcome(h.now, o)) })
 	case "UNDER_WAY":
 		f.text(0, "corr")
 		f.int(1, "go")
@@ -169,10 +169,10 @@
 // result reads the wire's completion code.
 func result(f *fields, i int) decide.Result {
 	codes := map[string]decide.Result{"1": decide.Delivered, "0": decide.Failed, "2": decide.Throttled,
-		"3": decide.TimedOut, "4": decide.NotConnected, "5": decide.Reset, "6": decide.Cancelled, "7": decide.Moot}
+		"3": decide.TimedOut, "4": decide.NotConnected, "5": decide.Reset, "6": decide.Cancelled, "7": decide.NotAttempted}
 	r, ok := codes[f.Values[i]]
 	if !ok && f.err == nil {
-		f.err = f.Bad("code", f.Values[i])
+		f.err = f.FieldError("code", f.Values[i])
 	}
 	return r
 }
@@ -181,10 +181,10 @@
 func (h *host) defineList(f *fields) error {
 	slot, entries := f.int(0, "slot"), f.int(1, "members")
 	if f.err == nil && (slot < 0 || slot > 15 || f.Values[0] == simwire.Absent) {
-		f.err = f.Bad("slot", f.Values[0])
+		f.err = f.FieldError("slot", f.Values[0])
 	}
 	if f.err == nil && entries < 0 {
-		f.err = f.Bad("members", f.Values[1])
+		f.err = f.FieldError("members", f.Values[1])
 	}
 	if f.err != nil {
 		return f.err
@@ -198,7 +198,7 @@
 		if line.Name != "M" {
 			return fmt.Errorf("line %d: %s where M should stand", line.Number, line.Name)
 		}
-		if err := line.Want(7); err != nil {
+		if err := line.RequireValues(7); err != nil {
 			return err
 		}
 		m := &fields{Line: line}
@@ -207,7 +207,7 @@
 		m.float(6, "ready-at-ms")
 		known := e.Stage == directory.Ready || e.Stage == directory.Draining || e.Stage == directory.Gone
 		if !known && m.err == nil {
-			m.err = line.Bad("stage-state", e.Stage)
+			m.err = line.FieldError("stage-state", e.Stage)
 		}
 		if m.err != nil {
 			return m.err
@@ -222,25 +222,25 @@
 func (h *host) update(f *fields, x *instance) error {
 	how := f.text(0, "how")
 	if how == "broken" {
-		x.dir.Failed()
+		x.dir.RecordFailure()
 		return f.err
 	}
 	slot := f.int(1, "slot")
 	f.int(2, "generation")
 	list, ok := h.lists[slot]
 	if f.err == nil && (!ok || f.Values[1] == simwire.Absent) {
-		f.err = f.Bad("slot", f.Values[1])
+		f.err = f.FieldError("slot", f.Values[1])
 	}
 	if f.err != nil {
 		return f.err
 	}
 	switch how {
 	case "patch":
-		x.dir.Change(list)
+		x.dir.Apply(list)
 	case "whole", "stale_copy":
 		x.dir.Replace(list)
 	default:
-		return f.Bad("how", how)
+		return f.FieldError("how", how)
 	}
 	return nil
 }
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -26,7 +26,7 @@
 
 // instance is one dispatcher: its module, its list, and what it has in hand.
 type instance struct {
-	module *decide.Module
+	module *decide.Scheduler
 	dir    *directory.Directory
 	hand   map[string]decide.Notification
 	out    map[string]int // pushes without outcome
@@ -48,7 +48,7 @@
 		if line.Name != "ROUND" {
 			return fmt.Errorf("line %d: %s where ROUND should stand", line.Number, line.Name)
 		}
-		if err := line.Want(2); err != nil {
+		if err := line.RequireValues(2); err != nil {
 			return err
 		}
 		clock, err := line.Float(0, "at-time-ms")
@@ -109,7 +109,7 @@
 // settle asks for turns until there is none now, then sets a timer for the next.
 func (h *host) settle(i int64, x *instance) {
 	for {
-		wait, id := x.module.Wait(h.now)
+		wait, id := x.module.NextTurn(h.now)
 		if wait <= 0 {
 			h.answer(i, x, x.module.Place(h.now, x.hand[id]))
 			continue
@@ -125,35 +125,35 @@
 }
 
 // answer writes one answer of the module as an action.
-func (h *host) answer(i int64, x *instance, a decide.Answer) {
-	switch a.Do {
+func (h *host) answer(i int64, x *instance, a decide.Decision) {
+	switch a.Action {
 	case decide.Push:
-		x.out[a.Ntf]++
-		h.act(i, "HAND_OFF %s %.3f %s", a.Ntf, a.Timeout*1000, a.Endpoint)
+		x.out[a.NotificationID]++
+		h.act(i, "HAND_OFF %s %.3f %s", a.NotificationID, a.Timeout*1000, a.Endpoint)
 	case decide.Throttle:
-		h.act(i, "NOT_NOW %s %.3f", a.Ntf, a.RetryIn*1000)
-		x.heard(h.now, a.Ntf)
+		h.act(i, "NOT_NOW %s %.3f", a.NotificationID, a.RetryIn*1000)
+		x.heard(h.now, a.NotificationID)
 	case decide.Expire:
-		h.act(i, "LOSE %s", a.Ntf)
-		x.heard(h.now, a.Ntf)
-	case decide.Cancel:
-		h.act(i, "CALL_OFF %s %d", a.Ntf, a.Push)
-	case decide.Probe:
+		h.act(i, "LOSE %s", a.NotificationID)
+		x.heard(h.now, a.NotificationID)
+	case decide.CancelPush:
+		h.act(i, "CALL_OFF %s %d", a.NotificationID, a.PushNumber)
+	case decide.ProbeEndpoint:
 		h.act(i, "INSPECT %s", a.Endpoint)
-	case decide.Watch:
+	case decide.WatchList:
 		h.act(i, "OBSERVE 1")
-	case decide.Fetch:
+	case decide.FetchList:
 		h.act(i, "RESOLVE")
-	case decide.Close:
+	case decide.CloseIdle:
 		h.act(i, "CLOSE %s", a.Endpoint)
-	case decide.Tell:
+	case decide.Broadcast:
 		h.act(i, "MEMO_TO -1 %x", a.Body)
 	}
 }
 
 // heard tells the module that its final answer has reached the client, as it has here with the reply.
 func (x *instance) heard(now float64, id string) {
-	x.module.After(now, decide.Outcome{Ntf: id, Result: decide.Withdrawn, Over: true})
+	x.module.HandleOutcome(now, decide.Outcome{NotificationID: id, Result: decide.Withdrawn, Final: true})
 	x.finish(id)
 }
 
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -21,10 +21,10 @@
 			b.Run(fmt.Sprint(n, "/", dests), func(b *testing.B) {
 				dir := directory.New()
 				dir.Replace(benchList(n, dests))
-				m := New(1, dir, []Topic{{Name: "t", Repeat: Collapsible, Memory: 5, Group: "all", Objective: 2, TTL: 1e6, Benefit: 1}}, Slots{Calls: 0, Held: 1000}, Routes{}, Returns{ColdFrom: .2, ColdSpan: 10, Multiple: 2, FallAfter: 1, Dispatchers: 300}, Pushes{Most: 8, Tick: .005}, Shares{}, false)
-				m.slots.Calls = 1000
+				m := New(1, dir, []Topic{{Name: "t", Repeat: Collapsible, DedupWindow: 5, DedupScope: "all", Objective: 2, TTL: 1e6, Benefit: 1}}, Capacity{MaxCalls: 0, MaxHeld: 1000}, Routes{}, Recovery{InitialCapacity: .2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 300}, PushPolicy{MaxPushes: 8, Tick: .005}, TenantQuotas{}, false)
+				m.slots.MaxCalls = 1000
 				for i := range 50 {
-					m.Place(1000, Notification{ID: fmt.Sprint(i), Topic: "t", Dest: fmt.Sprint(i % 10), Left: 1e6, Owed: true, RanAt: 999, RanTo: "s-0"})
+					m.Place(1000, Notification{ID: fmt.Sprint(i), Topic: "t", Dest: fmt.Sprint(i % 10), TimeLeft: 1e6, Restored: true, RanAt: 999, RanTo: "s-0"})
 				}
 				for _, e := range benchList(n, dests) {
 					m.gate(e).stop = 1e9
@@ -32,7 +32,7 @@
 				}
 				b.ResetTimer()
 				for range b.N {
-					m.Wait(1000.5)
+					m.NextTurn(1000.5)
 				}
 			})
 		}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -50,9 +50,9 @@
 )
 
 // New returns a module with no notifications, started from the wire's seed.
-func New(seed uint64, dir *directory.Directory, topics []Topic, slots Slots, routes Routes, returns Returns,
-	pushes Pushes, shares Shares, ask bool) *Module {
-	m := &Module{rng: pcg{state: seed}, dir: dir, topics: map[string]Topic{}, slots: slots, routes: routes,
+func New(seed uint64, dir *directory.Directory, topics []Topic, slots Capacity, routes Routes, returns Recovery,
+	pushes PushPolicy, shares TenantQuotas, ask bool) *Scheduler {
+	m := &Scheduler{rng: pcg{state: seed}, dir: dir, topics: map[string]Topic{}, slots: slots, routes: routes,
 		returns: returns, pushes: pushes, shares: shares, ask: ask, held: map[string]*held{},
 		keys: map[string][]*held{}, dests: map[string]*dest{}, gates: map[gateID]*gate{},
 		ends: map[string]*endpoint{}, asked: map[string][]float64{}, scarce: map[string]float64{}}
@@ -67,36 +67,36 @@
 }
 
 // Place takes a new notification into its destination's queue, or places the one whose turn Wait named.
-func (m *Module) Place(now float64, ntf Notification) Answer {
+func (m *Scheduler) Place(now float64, ntf Notification) Decision {
 	if ntf.ID == "" {
 		if m.nextAsk <= now {
-			m.heard, m.nextAsk = m.dir.Heard, never
-			return Answer{Do: Watch}
+			m.heard, m.nextAsk = m.dir.Revision, never
+			return Decision{Action: WatchList}
 		}
 		i := slices.IndexFunc(m.idle, func(i idle) bool { return m.closes(now, i) <= now })
 		end := m.idle[i].end
 		m.idle = slices.Delete(m.idle, i, i+1)
-		return Answer{Do: Close, Endpoint: end.id}
+		return Decision{Action: CloseIdle, Endpoint: end.id}
 	}
 	h, known := m.held[ntf.ID]
 	d := m.dest(ntf.Dest)
 	if !known {
-		h = &held{Notification: ntf, topic: m.topics[ntf.Topic], until: now + ntf.Left, mayRun: never}
-		first := ntf.Left > h.topic.TTL-handIn && !ntf.Owed
+		h = &held{Notification: ntf, topic: m.topics[ntf.Topic], until: now + ntf.TimeLeft, mayRun: never}
+		first := ntf.TimeLeft > h.topic.TTL-handIn && !ntf.Restored
 		h.pushes, h.beyond = ntf.Pushes, first && m.beyond(now, ntf.Tenant)
-		room := (1-reserve)*float64(m.slots.Held) - float64(len(m.held))
+		room := (1-reserve)*float64(m.slots.MaxHeld) - float64(len(m.held))
 		waits := room > 0 && h.ordered() && len(m.keys[h.Key]) > 0 // its turn: it needs no more than room
-		if !ntf.Owed && (!m.dir.Known(d.id) || !waits && len(d.queue) >= m.bound(h) && !m.displace(now, d, h)) {
-			return Answer{Do: Throttle, Ntf: h.ID, RetryIn: m.retryIn(now, d)}
+		if !ntf.Restored && (!m.dir.KnownDest(d.id) || !waits && len(d.queue) >= m.bound(h) && !m.displace(now, d, h)) {
+			return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: m.retryIn(now, d)}
 		}
-		if ntf.Owed {
+		if ntf.Restored {
 			m.spread(now, d, h)
 		}
-		if ntf.Broke {
+		if ntf.LastPushFailed {
 			m.slowRestart(now, ntf)
 		}
 		if ntf.RanAt > 0 { // before a restart: it may still run
-			h.mayRun, h.zone, h.rest = ntf.RanAt, cmp.Or(ntf.RanZone, m.zone(ntf.Dest, ntf.RanTo)), now+m.pushes.Settle
+			h.mayRun, h.zone, h.rest = ntf.RanAt, cmp.Or(ntf.RanZone, m.zone(ntf.Dest, ntf.RanTo)), now+m.pushes.KeyCooldown
 		}
 		m.held[h.ID] = h
 		if first {
@@ -107,20 +107,20 @@
 		}
 		m.taken, m.worths = m.taken+1, m.worths+h.topic.Benefit
 		h.order = m.taken
-		if h.over, h.ending = ntf.Ending, ntf.Ending; !h.over {
+		if h.over, h.ending = ntf.NoticePending, ntf.NoticePending; !h.over {
 			m.enqueue(d, h)
 		}
-		return Answer{}
+		return Decision{}
 	}
 	if h.over || h.call != nil {
-		return Answer{}
+		return Decision{}
 	}
 	if m.hopeless(now, d, h) {
 		return m.giveUp(now, d, h)
 	}
 	e, _ := m.admit(now, d, h)
 	if e == nil || m.keyFree(now, h) > now {
-		return Answer{}
+		return Decision{}
 	}
 	g, end := m.gate(*e), m.end(e.ID)
 	end.kind, d.deficit = e.Kind, d.deficit-1
@@ -148,27 +148,27 @@
 	// A TTL counts from when its client sent it, known here later: an answer in its last tick may be late.
 	wait, counts := m.patience(g, end, h), max(0, h.until-m.pushes.Tick-now)
 	h.hurried = counts < wait
-	return Answer{Do: Push, Ntf: h.ID, Endpoint: e.ID, Timeout: min(wait, counts), Counts: counts,
-		Within: m.knownUntil(h) - now, First: h.first(),
-		Fresh: h.topic.Repeat == OnceOnly && m.scarce[e.Kind] > now} // a kept connection may break under it
+	return Decision{Action: Push, NotificationID: h.ID, Endpoint: e.ID, Timeout: min(wait, counts), AnswerValidFor: counts,
+		StartWithin: m.knownUntil(h) - now, FirstRun: h.first(),
+		NewConnection: h.topic.Repeat == OnceOnly && m.scarce[e.Kind] > now} // a kept connection may break under it
 }
 
-// After takes in how a push ended and tells what becomes of its notification.
-func (m *Module) After(now float64, o Outcome) Answer {
-	h := m.held[o.Ntf]
+// HandleOutcome takes in how a push ended and tells what becomes of its notification.
+func (m *Scheduler) HandleOutcome(now float64, o Outcome) Decision {
+	h := m.held[o.NotificationID]
 	if e, ok := m.dir.Find(o.Dest, o.Endpoint); ok { // a wait that was told after its push had ended
 		g := m.gate(e)
 		g.stop = max(g.stop, now+o.Wait)
 	}
 	if h == nil {
-		return Answer{}
+		return Decision{}
 	}
 	d := m.dest(h.Dest)
 	if o.Result == Withdrawn {
 		h.over, h.ending = true, false
 		m.leave(d, h)
 		m.settle(now, h)
-		return Answer{}
+		return Decision{}
 	}
 	c := h.call
 	h.call = nil
@@ -185,12 +185,12 @@
 				c.gate.idle = now
 			}
 		}
-		if o.Result != Moot {
+		if o.Result != NotAttempted {
 			m.learn(now, c, h, o)
 		} else if o.Unsent {
 			h.pushes--
-		} else if o.Spent {
-			h.pushes = m.pushes.Most
+		} else if o.NoMorePushes {
+			h.pushes = m.pushes.MaxPushes
 		}
 	}
 	switch o.Result {
@@ -199,28 +199,28 @@
 			h.mayRun, h.zone = h.lastSent, h.lastZone
 		}
 		if o.Result != Failed {
-			h.rest = now + m.pushes.Settle
+			h.rest = now + m.pushes.KeyCooldown
 		}
 	}
-	if h.over = h.over || o.Over; h.over {
+	if h.over = h.over || o.Final; h.over {
 		m.settle(now, h)
-		return Answer{}
+		return Decision{}
 	}
 	if m.hopeless(now, d, h) {
 		return m.giveUp(now, d, h)
 	}
 	m.enqueue(d, h)
-	return Answer{}
+	return Decision{}
 }
 
-// Wait gives the seconds until Place is to be asked, and for whom; 0 asks for it now.
-func (m *Module) Wait(now float64) (float64, string) {
+// NextTurn gives the seconds until Place is to be asked, and for whom; 0 asks for it now.
+func (m *Scheduler) NextTurn(now float64) (float64, string) {
 	m.sweep(now)
 	next := m.errandAt(now)
 	if next <= now {
 		return 0, ""
 	}
-	if id := m.Overdue(now); id != "" {
+	if id := m.Undeliverable(now); id != "" {
 		return 0, id
 	}
 	for _, d := range m.round {
@@ -235,8 +235,8 @@
 	return min(next, when) - now, ""
 }
 
-// Overdue names a notification in a queue that cannot be delivered any more, "" for none: Place gives its final answer.
-func (m *Module) Overdue(now float64) string {
+// Undeliverable names a notification in a queue that cannot be delivered any more, "" for none: Place gives its final answer.
+func (m *Scheduler) Undeliverable(now float64) string {
 	for _, d := range m.round {
 		for _, h := range d.queue {
 			if m.hopeless(now, d, h) {
@@ -249,9 +249,9 @@
 
 // turn moves the pointer to the destination whose head may leave; where none may, it tells when one could.
 // With no slot free nobody loses a turn, and only a shared call can still be filled.
-func (m *Module) turn(now float64) (*held, float64) {
+func (m *Scheduler) turn(now float64) (*held, float64) {
 	next := never
-	if m.out >= m.slots.Calls {
+	if m.out >= m.slots.MaxCalls {
 		if m.pointer < len(m.round) && m.granted && m.round[m.pointer].deficit >= 1 {
 			return m.head(now, m.round[m.pointer])
 		}
@@ -282,20 +282,20 @@
 }
 
 // weight scales a destination's quantum: the head's benefit, and a shared call is filled in one turn.
-func (m *Module) weight(d *dest, h *held) float64 {
+func (m *Scheduler) weight(d *dest, h *held) float64 {
 	batch := 1
-	for _, e := range m.dir.Of(d.id) {
-		batch = max(batch, m.slots.Batch[e.Kind])
+	for _, e := range m.dir.Endpoints(d.id) {
+		batch = max(batch, m.slots.BatchSize[e.Kind])
 	}
 	return float64(batch) * max(1, h.topic.Benefit)
 }
 
 // head is the first of a queue that may start now, or when one could.
-func (m *Module) head(now float64, d *dest) (*held, float64) {
+func (m *Scheduler) head(now float64, d *dest) (*held, float64) {
 	next := never
 	none, noneLow := false, false // what one without a past did not get, none like it gets
 	var refused []likeness
-	fresh := slices.IndexFunc(d.queue, func(h *held) bool { return !h.topic.Halves || h.due() > now })
+	fresh := slices.IndexFunc(d.queue, func(h *held) bool { return !h.topic.ExponentialDecay || h.due() > now })
 	for i := range d.queue {
 		h := d.queue[(max(0, fresh)+i)%len(d.queue)]
 		low := h.topic.Benefit < m.top
@@ -324,10 +324,10 @@
 
 // admit finds the endpoint with fewest calls in flight that its throttle admits, or when one could be had. A
 // tie goes to the one that delivered last, else by chance: many dispatchers with none in flight crowd one.
-func (m *Module) admit(now float64, d *dest, h *held) (*directory.Endpoint, float64) {
+func (m *Scheduler) admit(now float64, d *dest, h *held) (*directory.Endpoint, float64) {
 	var best *directory.Endpoint
 	next, least := never, 0
-	listed := m.dir.Of(d.id)
+	listed := m.dir.Endpoints(d.id)
 	shuns := m.others(now, h, listed)
 	for i := range listed {
 		e := &listed[i]
@@ -348,7 +348,7 @@
 		}
 		better := best == nil || len(end.calls) < least
 		if !better && len(end.calls) == least {
-			fee, was := m.routes.Fee[e.Zone], m.routes.Fee[best.Zone]
+			fee, was := m.routes.FeeByZone[e.Zone], m.routes.FeeByZone[best.Zone]
 			better = fee < was || fee == was && end.rank > m.end(best.ID).rank
 		}
 		if better {
@@ -359,14 +359,14 @@
 }
 
 // takes tells that an endpoint may have h at all.
-func (m *Module) takes(h *held, e directory.Endpoint) bool {
+func (m *Scheduler) takes(h *held, e directory.Endpoint) bool {
 	return e.Stage == directory.Ready && (!h.zoned() || e.Zone == h.zone)
 }
 
 // others tells that there is an endpoint which lately did not fail h's topic type, nor is in an outage. Then
 // those that did are shunned for it. It guards against endpoints that fail one topic type and take the rest;
 // it does harm where a failure was by chance and the others are slower.
-func (m *Module) others(now float64, h *held, listed []directory.Endpoint) bool {
+func (m *Scheduler) others(now float64, h *held, listed []directory.Endpoint) bool {
 	for _, e := range listed {
 		if m.takes(h, e) && m.end(e.ID).topics[h.Topic].shunned <= now && !m.gate(e).down() {
 			return true
@@ -376,12 +376,12 @@
 }
 
 // opens tells when the throttle of an endpoint lets h start: by now, at a time, or never (an outcome first).
-func (m *Module) opens(now float64, d *dest, e directory.Endpoint, h *held) float64 {
+func (m *Scheduler) opens(now float64, d *dest, e directory.Endpoint, h *held) float64 {
 	g := m.gate(e)
 	if g.stop > now {
 		return g.stop
 	}
-	if m.out >= m.slots.Calls || g.out >= m.cap(now, e) {
+	if m.out >= m.slots.MaxCalls || g.out >= m.cap(now, e) {
 		return never
 	}
 	low := 0.0
@@ -401,26 +401,26 @@
 }
 
 // forgets tells how long the allowance is kept with no call out: a second, or what the limit takes a call.
-func (m *Module) forgets(g *gate) float64 { return min(forget, 1/max(0, g.limit)) }
+func (m *Scheduler) forgets(g *gate) float64 { return min(forget, 1/max(0, g.limit)) }
 
 // cap is three quarters of the slots, half while the destination fails or slows, at least one.
-func (m *Module) cap(now float64, e directory.Endpoint) int {
+func (m *Scheduler) cap(now float64, e directory.Endpoint) int {
 	g := m.gate(e)
 	if g.recovering || m.silent(now, m.end(e.ID)) {
-		return max(1, m.slots.Calls/2)
+		return max(1, m.slots.MaxCalls/2)
 	}
-	return max(1, m.slots.Calls*3/4)
+	return max(1, m.slots.MaxCalls*3/4)
 }
 
-// Restarted tells that a process before this one may have left pushes behind that still run. What was over by then is known
+// HandleRestart tells that a process before this one may have left pushes behind that still run. What was over by then is known
 // to nobody, so all ordered keys rest for the stated time.
-func (m *Module) Restarted(now float64) { m.keysFrom = now + m.pushes.Settle }
+func (m *Scheduler) HandleRestart(now float64) { m.keysFrom = now + m.pushes.KeyCooldown }
 
 // spread lets what is owed since a restart start at a moment of this dispatcher's own, within the time in
 // which its even part of the listed rate brings it a push, or the objective. It guards destinations when many
 // restart together.
-func (m *Module) spread(now float64, d *dest, h *held) {
-	for _, e := range m.dir.Of(d.id) {
+func (m *Scheduler) spread(now float64, d *dest, h *held) {
+	for _, e := range m.dir.Endpoints(d.id) {
 		if g := m.gate(e); g.jitter == 0 {
 			g.jitter = m.rng.float()
 			g.stop = now + g.jitter*min(h.topic.Objective, 1/m.evenShare(m.rate(e, g)))
@@ -432,7 +432,7 @@
 // or an even share of the told rate, is kept to at first and then slowly passed. It guards against others'
 // use of a limit, limits lowered without a report, and refusals that use up the limit: there a rate a little
 // above the limit gets next to nothing, so the share of late pushes that were refused comes off.
-func (m *Module) pace(now float64, d *dest, e directory.Endpoint, g *gate, h *held) float64 {
+func (m *Scheduler) pace(now float64, d *dest, e directory.Endpoint, g *gate, h *held) float64 {
 	if now-g.full > 1/climb {
 		return now
 	}
@@ -443,7 +443,7 @@
 		}
 	}
 	part := m.demandShare(now, d, e, g)
-	span := scatter * m.returns.FallAfter / m.share(e, g)
+	span := scatter * m.returns.OverloadSpan / m.share(e, g)
 	if when := g.stop + g.jitter*min(1/part, span); when > now && g.lastTrial < g.stop {
 		return when
 	}
@@ -456,7 +456,7 @@
 }
 
 // window tells when the next push may go, if no span is to see more pushes than the rate gives it.
-func (m *Module) window(now float64, g *gate, rate, span float64) float64 {
+func (m *Scheduler) window(now float64, g *gate, rate, span float64) float64 {
 	room := rate * span
 	if room < 1 {
 		span, room = span/max(room, 0.01), 1
@@ -472,12 +472,12 @@
 
 // patience is a push's time-out, by the answer times last seen; where an endpoint has shown few, those of all
 // stand in. With the last slot taken it is no longer than that: a lost answer would hold up all others.
-func (m *Module) patience(g *gate, end *endpoint, h *held) float64 {
+func (m *Scheduler) patience(g *gate, end *endpoint, h *held) float64 {
 	aim := h.topic.Objective
 	if g.down() {
 		return mostWait * aim
 	}
-	if m.out >= m.slots.Calls {
+	if m.out >= m.slots.MaxCalls {
 		return min(patience*mean(end.lasted, mean(m.lasted, firstGap)), mostWait*aim)
 	}
 	wait := min(max(aim, patience*mean(end.lasted, mean(m.lasted, firstGap))), mostWait*aim)
@@ -488,53 +488,55 @@
 }
 
 // hopeless tells that a held notification cannot be delivered any more: it gets its final answer at once.
-func (m *Module) hopeless(now float64, d *dest, h *held) bool {
-	late := now >= m.lastStart(h) || h.pushes >= m.pushes.Most || h.shed
+func (m *Scheduler) hopeless(now float64, d *dest, h *held) bool {
+	late := now >= m.lastStart(h) || h.pushes >= m.pushes.MaxPushes || h.shed
 	unsafe := h.mayRun != never && h.topic.Repeat == OnceOnly || now > m.knownUntil(h)
 	return !h.over && h.call == nil && (late || unsafe)
 }
 
 // lastStart is when a push could still bring an answer in time, as answers lately took. One begun later ends
 // unheard, and with it a wait that its answer tells: the next push there would break it.
-func (m *Module) lastStart(h *held) float64 {
+func (m *Scheduler) lastStart(h *held) float64 {
 	return h.until - max(m.pushes.Tick, mean(m.lasted, 0))
 }
 
 // knownUntil is when a push that may have run would no longer be known for a repeat: none may start later,
 // also none that waited for its connection until then.
-func (m *Module) knownUntil(h *held) float64 {
+func (m *Scheduler) knownUntil(h *held) float64 {
 	if h.topic.Repeat != Collapsible {
 		return never
 	}
-	return h.mayRun + h.topic.Memory - m.pushes.Tick
+	return h.mayRun + h.topic.DedupWindow - m.pushes.Tick
 }
 
 // giveUp ends one: throttled where it may safely come again, else expired. Its key waits until that is heard.
-func (m *Module) giveUp(now float64, d *dest, h *held) Answer {
+func (m *Scheduler) giveUp(now float64, d *dest, h *held) Decision {
 	h.over, h.ending = true, true
 	m.leave(d, h)
-	known := h.topic.Repeat == Collapsible && h.topic.Group == "all"
+	known := h.topic.Repeat == Collapsible && h.topic.DedupScope == "all"
 	if h.mayRun == never || h.topic.Repeat == Repeatable || known {
-		return Answer{Do: Throttle, Ntf: h.ID, RetryIn: m.retryIn(now, d)}
+		return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: m.retryIn(now, d)}
 	}
-	return Answer{Do: Expire, Ntf: h.ID}
+	return Decision{Action: Expire, NotificationID: h.ID}
 }
 
 // bound is how many notifications a destination's queue holds as h comes: as many as there is room left, so
 // that queues that stand still leave room for those that move, more or fewer by its merit.
-func (m *Module) bound(h *held) int { return max(1, int(float64(m.slots.Held-len(m.held))*m.merit(h))) }
+func (m *Scheduler) bound(h *held) int {
+	return max(1, int(float64(m.slots.MaxHeld-len(m.held))*m.merit(h)))
+}
 
 // merit is a notification's benefit against the mean of those taken: what is short is parted by it. The
 // reserve does so only while calls are out. It does harm where one topic type has nearly all of the benefit.
-func (m *Module) merit(h *held) float64 {
+func (m *Scheduler) merit(h *held) float64 {
 	return h.topic.Benefit * float64(m.taken) / max(m.worths, 1e-9)
 }
 
 // displace marks the notification of a full queue that is worth least now, if it is worth less than h.
-func (m *Module) displace(now float64, d *dest, h *held) bool {
+func (m *Scheduler) displace(now float64, d *dest, h *held) bool {
 	least := h
 	for _, x := range d.queue { // what a restart found untried was promised a try
-		if !x.shed && !(x.Owed && x.pushes == 0) && m.worth(now, x) < m.worth(now, least) {
+		if !x.shed && !(x.Restored && x.pushes == 0) && m.worth(now, x) < m.worth(now, least) {
 			least = x
 		}
 	}
@@ -543,21 +545,21 @@
 }
 
 // worth is the benefit of a notification delivered now.
-func (m *Module) worth(now float64, h *held) float64 {
+func (m *Scheduler) worth(now float64, h *held) float64 {
 	late := now - h.due()
 	share := 1 - (1-h.topic.LateBenefit)*max(0, late)/max(h.topic.TTL-h.topic.Objective, 1e-9)
-	if h.topic.Halves {
+	if h.topic.ExponentialDecay {
 		share = max(h.topic.LateBenefit, math.Exp2(-max(0, late)/h.topic.Objective))
 	}
 	if h.beyond {
-		share *= m.shares.Beyond
+		share *= m.shares.OverQuotaBenefit
 	}
 	return h.topic.Benefit * share
 }
 
 // beyond tells that a tenant asks more than this dispatcher's part of its share, which is worth little. It
 // guards the others' room in bursts; retries, known by the time they have left, belong to their first try.
-func (m *Module) beyond(now float64, tenant string) bool {
+func (m *Scheduler) beyond(now float64, tenant string) bool {
 	part := shareSpan * m.evenShare(m.shares.Rate[tenant])
 	part += 2 * math.Sqrt(part) // beyond what chance alone brings
 	asked := last(m.asked[tenant], now, many)
@@ -567,9 +569,9 @@
 
 // retryIn tells a client when there is likely room again: when the first endpoint may get a push, as far as
 // that is known now. One that answers nobody is tried by what is held here first.
-func (m *Module) retryIn(now float64, d *dest) float64 {
+func (m *Scheduler) retryIn(now float64, d *dest) float64 {
 	first := never
-	for _, e := range m.dir.Of(d.id) {
+	for _, e := range m.dir.Endpoints(d.id) {
 		if e.Stage != directory.Ready {
 			continue
 		}
@@ -583,7 +585,7 @@
 }
 
 // keyFree tells when an ordered notification's key is its own: now, a time, or never (an outcome first).
-func (m *Module) keyFree(now float64, h *held) float64 {
+func (m *Scheduler) keyFree(now float64, h *held) float64 {
 	if !h.ordered() {
 		return now
 	}
@@ -601,9 +603,9 @@
 }
 
 // joinable is the call of this turn to an endpoint that has room for another notification.
-func (m *Module) joinable(now float64, e directory.Endpoint) *call {
+func (m *Scheduler) joinable(now float64, e directory.Endpoint) *call {
 	calls := m.end(e.ID).calls
-	if n := len(calls); n > 0 && calls[n-1].at == now && calls[n-1].size < m.slots.Batch[e.Kind] {
+	if n := len(calls); n > 0 && calls[n-1].at == now && calls[n-1].size < m.slots.BatchSize[e.Kind] {
 		return calls[n-1]
 	}
 	return nil
@@ -611,7 +613,7 @@
 
 // enqueue puts a notification in its place: by the end of its objective, then by the order taken. So a client
 // that leaves little time, or comes again, is not behind those who have all of theirs.
-func (m *Module) enqueue(d *dest, h *held) {
+func (m *Scheduler) enqueue(d *dest, h *held) {
 	at := len(d.queue)
 	for ; at > 0; at-- {
 		if x := d.queue[at-1]; x.due() < h.due() || x.due() == h.due() && x.order < h.order {
@@ -626,7 +628,7 @@
 }
 
 // leave takes a notification off its queue; an emptied queue leaves the round and its deficit is reset.
-func (m *Module) leave(d *dest, h *held) {
+func (m *Scheduler) leave(d *dest, h *held) {
 	d.queue = slices.DeleteFunc(d.queue, func(x *held) bool { return x == h })
 	if len(d.queue) > 0 || !d.inRound {
 		return
@@ -643,9 +645,9 @@
 
 // errandAt tells when the list is to be asked for (at start, and again some time after a failure), or idle
 // connections are to be closed.
-func (m *Module) errandAt(now float64) float64 {
-	if m.ask && m.nextAsk == never && m.dir.Failures > 0 && m.dir.Heard != m.heard {
-		m.heard = m.dir.Heard
+func (m *Scheduler) errandAt(now float64) float64 {
+	if m.ask && m.nextAsk == never && m.dir.ConsecutiveFailures > 0 && m.dir.Revision != m.heard {
+		m.heard = m.dir.Revision
 		m.nextAsk = now + asideRand*(1+m.rng.float())
 	}
 	used := func(i idle) bool { return len(i.end.calls) > 0 || i.end.idle != i.since }
@@ -661,10 +663,10 @@
 // dispatchers' idle ones would shut the others out, or break unseen. Where endpoints of its kind lately
 // refused or broke one, the settings' idle time is divided among the dispatchers, and where this one's calls
 // come farther apart a connection kept would only take another's place; else it is five seconds at most.
-func (m *Module) closes(now float64, i idle) float64 {
-	keep := m.evenShare(m.pushes.IdleClose)
+func (m *Scheduler) closes(now float64, i idle) float64 {
+	keep := m.evenShare(m.pushes.IdleTimeout)
 	if m.scarce[i.end.kind] <= now {
-		keep = max(keep, min(idleKept, cmp.Or(m.pushes.IdleClose, idleKept)))
+		keep = max(keep, min(idleKept, cmp.Or(m.pushes.IdleTimeout, idleKept)))
 	} else if keep < mean(i.end.apart, firstGap) {
 		keep = 0
 	}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -13,7 +13,7 @@
 	full    = decide.Outcome{Result: decide.Throttled}
 	failed  = decide.Outcome{Result: decide.Failed}
 	late    = decide.Outcome{Result: decide.TimedOut, Latency: 4}
-	crowded = decide.Outcome{Result: decide.Throttled, Crowded: true}
+	crowded = decide.Outcome{Result: decide.Throttled, TooManyConnections: true}
 	refused = decide.Outcome{Result: decide.NotConnected}
 	reset   = decide.Outcome{Result: decide.Reset}
 )
@@ -56,7 +56,7 @@
 
 // Found on the deployments with priced handshakes: an idle connection is kept for five seconds where none was refused.
 func Example_idleKept() {
-	d := shaped(func(s *shape) { s.pushes.IdleClose, s.returns.Dispatchers = 15, 100 }, 4, 40, "A")
+	d := shaped(func(s *shape) { s.pushes.IdleTimeout, s.returns.Dispatchers = 15, 100 }, 4, 40, "A")
 	d.closing = true
 	d.take("reading", "A1")
 	d.at(0)
@@ -73,13 +73,13 @@
 	d := newDesk(12, 40, "A")
 	d.take("order", "A1")
 	d.at(0)
-	d.ended("A", decide.Outcome{Result: decide.Delivered, Reported: true, Share: 0.3, Limit: 10}, "A1")
+	d.ended("A", decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0.3, Limit: 10}, "A1")
 	d.take("order", "A2", "A3", "A4", "A5")
 	d.at(0.1)
-	d.ended("A", decide.Outcome{Result: decide.Delivered, Reported: true, Share: 0.1, Limit: 10}, "A2", "A3", "A4")
+	d.ended("A", decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0.1, Limit: 10}, "A2", "A3", "A4")
 	d.take("reading", "A6")
 	d.at(0.2)
-	d.ended("A", decide.Outcome{Result: decide.Delivered, Reported: true, Share: 0, Limit: 10}, "A5")
+	d.ended("A", decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0, Limit: 10}, "A5")
 	d.waits()
 	d.at(0.31)
 	// Output:
@@ -97,7 +97,7 @@
 	d := newDesk(12, 40, "A")
 	d.take("order", "A1")
 	d.at(0)
-	d.ended("A", decide.Outcome{Result: decide.Delivered, Reported: true, Share: 0.3, Limit: 10}, "A1")
+	d.ended("A", decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0.3, Limit: 10}, "A1")
 	d.take("reading", "A2", "A3", "A4")
 	d.take("order", "A5")
 	d.at(0.05)
@@ -291,11 +291,11 @@
 	d := newDesk(12, 60, "A")
 	for i := range 40 {
 		id := fmt.Sprintf("A%02d", i)
-		d.hand[id] = decide.Notification{ID: id, Topic: "order", Key: id, Dest: "A", Left: 15}
+		d.hand[id] = decide.Notification{ID: id, Topic: "order", Key: id, Dest: "A", TimeLeft: 15}
 		d.m.Place(d.now, d.hand[id])
 	}
-	told := decide.Outcome{Result: decide.Delivered, Reported: true, Share: 0.2, Limit: 10}
-	lowered := decide.Outcome{Result: decide.Throttled, Reported: true, Limit: 2}
+	told := decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0.2, Limit: 10}
+	lowered := decide.Outcome{Result: decide.Throttled, LimitReported: true, Limit: 2}
 	d.at(0)
 	d.ended("A", told, "A00", "A01", "A02", "A03", "A04", "A05", "A06", "A07")
 	d.ended("A", lowered, "A08")
@@ -323,8 +323,8 @@
 	d.take("reading", "A1", "A2", "A3")
 	d.at(0)
 	d.ended("A", ok, "A1", "A2", "A3")
-	d.hand["A4"] = decide.Notification{ID: "A4", Topic: "reading", Dest: "A", Left: 0.05}
-	d.hand["A5"] = decide.Notification{ID: "A5", Topic: "reading", Dest: "A", Left: 0.07}
+	d.hand["A4"] = decide.Notification{ID: "A4", Topic: "reading", Dest: "A", TimeLeft: 0.05}
+	d.hand["A5"] = decide.Notification{ID: "A5", Topic: "reading", Dest: "A", TimeLeft: 0.07}
 	d.print(d.m.Place(d.now, d.hand["A4"]))
 	d.print(d.m.Place(d.now, d.hand["A5"]))
 	d.at(0)
@@ -396,7 +396,7 @@
 	d.at(1.6)
 	d.list("B", "apart", directory.Ready)
 	d.take("reading", "B1")
-	left := decide.Outcome{Result: decide.Throttled, Reported: true, Share: 0.9, Limit: 10}
+	left := decide.Outcome{Result: decide.Throttled, LimitReported: true, LimitLeft: 0.9, Limit: 10}
 	d.at(5)
 	d.ended("B", left, "B1")
 	d.at(14.2)
@@ -419,8 +419,8 @@
 		lasts  float64
 	}{{"apart", 1, 0}, {"apart", 2, 0}, {"both", 1, 0}, {"apart", 1, 1.5}} {
 		d := shaped(func(s *shape) {
-			s.returns.Dispatchers, s.returns.Unlisted = 200, true
-			s.slots.Batch["both"], s.routes.Apart = 10, map[string]bool{"apart": true, "both": true}
+			s.returns.Dispatchers, s.returns.RatesUnlisted = 200, true
+			s.slots.BatchSize["both"], s.routes.SeparateByKind = 10, map[string]bool{"apart": true, "both": true}
 		}, 12, 60)
 		d.list("A", x.kind, directory.Ready)
 		d.take("reading", "A1", "A2", "A3", "A4")
@@ -473,7 +473,7 @@
 	d.at(0)
 	d.ended("A", decide.Outcome{Result: decide.Throttled, Wait: 1.9}, "A1")
 	d.ended("Ab", decide.Outcome{Result: decide.Throttled, Wait: 1.4}, "A2")
-	fmt.Printf("%.1f\n", d.m.Place(d.now, decide.Notification{ID: "A3", Topic: "reading", Dest: "A", Left: 20}).RetryIn)
+	fmt.Printf("%.1f\n", d.m.Place(d.now, decide.Notification{ID: "A3", Topic: "reading", Dest: "A", TimeLeft: 20}).RetryIn)
 	// Output:
 	// 0.00  push A1 to A
 	// 0.00  push A2 to Ab
@@ -482,7 +482,7 @@
 
 // Where benefit halves, one past its objective loses little more by waiting: it goes after those that are in time.
 func Example_lateAfterTimely() {
-	d := shaped(func(s *shape) { s.topics[0].Halves = true }, 1, 40, "A", "B")
+	d := shaped(func(s *shape) { s.topics[0].ExponentialDecay = true }, 1, 40, "A", "B")
 	d.take("reading", "B1", "A1", "A2")
 	d.at(0)
 	d.now = 102.5
@@ -502,8 +502,8 @@
 // trials follow what came for it here, as long as no answer tells its limit.
 func Example_unlisted() {
 	for _, unlisted := range []bool{false, true} {
-		d := shaped(func(s *shape) { s.returns.Unlisted, s.returns.Dispatchers = unlisted, 200 }, 12, 60)
-		d.dir.Change([]directory.Endpoint{{ID: "A", Kind: "plain", Dest: "A", Stage: directory.Ready, Rate: 1}})
+		d := shaped(func(s *shape) { s.returns.RatesUnlisted, s.returns.Dispatchers = unlisted, 200 }, 12, 60)
+		d.dir.Apply([]directory.Endpoint{{ID: "A", Kind: "plain", Dest: "A", Stage: directory.Ready, Rate: 1}})
 		for i := range 20 {
 			d.take("reading", fmt.Sprint("A", i))
 		}
@@ -545,7 +545,7 @@
 		d.take("reading", reading)
 		d.at(float64(i))
 		d.ended("A", o, reading)
-		d.m.After(d.now, decide.Outcome{Ntf: reading, Result: decide.Withdrawn, Over: true})
+		d.m.HandleOutcome(d.now, decide.Outcome{NotificationID: reading, Result: decide.Withdrawn, Final: true})
 		d.take("tally", tally)
 		d.at(float64(i) + 0.1)
 		d.ended("A", ok, tally)
@@ -565,11 +565,11 @@
 // by the limits told, and refused pushes come back over a longer time, longest where much of the limit was left.
 func Example_smallRoute() {
 	told := func(share, limit float64) decide.Outcome {
-		return decide.Outcome{Result: decide.Throttled, Reported: true, Share: share, Limit: limit}
+		return decide.Outcome{Result: decide.Throttled, LimitReported: true, LimitLeft: share, Limit: limit}
 	}
 	for _, x := range []struct{ share, limit float64 }{{0, 10}, {0, 1}, {0.9, 1}} {
 		d := shaped(func(s *shape) {
-			s.returns.Dispatchers, s.returns.Unlisted, s.routes.FreeRefusals = 200, true, true
+			s.returns.Dispatchers, s.returns.RatesUnlisted, s.routes.FreeRefusals = 200, true, true
 		}, 12, 60)
 		for _, id := range []string{"A", "Ab"} {
 			d.list(id, "apart", directory.Ready)
@@ -682,14 +682,14 @@
 	d := newDesk(2, 40, "A")
 	for i, id := range []string{"A1", "A2", "A3"} {
 		d.at(float64(i))
-		d.hand[id] = decide.Notification{ID: id, Topic: "order", Dest: "A", Left: 0.5}
+		d.hand[id] = decide.Notification{ID: id, Topic: "order", Dest: "A", TimeLeft: 0.5}
 		d.print(d.m.Place(d.now, d.hand[id]))
 		d.at(float64(i))
 		d.at(float64(i) + 0.5)
 		d.ended("A", late, id)
 	}
 	d.take("reading", "A4", "A5")
-	d.hand["A6"] = decide.Notification{ID: "A6", Topic: "reading", Dest: "A", Left: 0.5}
+	d.hand["A6"] = decide.Notification{ID: "A6", Topic: "reading", Dest: "A", TimeLeft: 0.5}
 	d.print(d.m.Place(d.now, d.hand["A6"]))
 	d.at(2.6)
 	// Output:
@@ -706,11 +706,11 @@
 func Example_beyondShare() {
 	d := newDesk(1, 20, "B")
 	for _, n := range "123456789" {
-		ntf := decide.Notification{ID: "A" + string(n), Topic: "reading", Dest: "A", Tenant: "big", Left: 20}
+		ntf := decide.Notification{ID: "A" + string(n), Topic: "reading", Dest: "A", Tenant: "big", TimeLeft: 20}
 		d.hand[ntf.ID] = ntf
 		d.print(d.m.Place(d.now, ntf))
 	}
-	d.hand["Ax"] = decide.Notification{ID: "Ax", Topic: "reading", Dest: "A", Tenant: "big", Left: 20}
+	d.hand["Ax"] = decide.Notification{ID: "Ax", Topic: "reading", Dest: "A", Tenant: "big", TimeLeft: 20}
 	d.print(d.m.Place(d.now, d.hand["Ax"]))
 	d.take("reading", "Ay")
 	d.at(0.1)
@@ -721,15 +721,15 @@
 // A list that answers only when asked is asked for at start, and again some time after a failure.
 func Example_list() {
 	dir := directory.New()
-	m := decide.New(7, dir, topics, decide.Slots{Calls: 4, Held: 9}, decide.Routes{}, decide.Returns{},
-		decide.Pushes{Most: 8}, decide.Shares{}, true)
+	m := decide.New(7, dir, topics, decide.Capacity{MaxCalls: 4, MaxHeld: 9}, decide.Routes{}, decide.Recovery{},
+		decide.PushPolicy{MaxPushes: 8}, decide.TenantQuotas{}, true)
 	for _, now := range []float64{0, 0.1, 0.2, 2.3} {
 		if now == 0.2 {
-			dir.Failed()
+			dir.RecordFailure()
 		}
-		wait, id := m.Wait(now)
+		wait, id := m.NextTurn(now)
 		if wait <= 0 && id == "" {
-			fmt.Printf("%.1f  %s\n", now, words[m.Place(now, decide.Notification{}).Do])
+			fmt.Printf("%.1f  %s\n", now, words[m.Place(now, decide.Notification{}).Action])
 		}
 	}
 	// Output:
@@ -812,10 +812,10 @@
 		d.ended("A", ok, id)
 	}
 	for _, id := range []string{"B1", "A5"} {
-		d.hand[id] = decide.Notification{ID: id, Topic: "reading", Dest: id[:1], Left: 20}
+		d.hand[id] = decide.Notification{ID: id, Topic: "reading", Dest: id[:1], TimeLeft: 20}
 		d.m.Place(d.now, d.hand[id])
 		a := d.m.Place(d.now, d.hand[id])
-		fmt.Printf("%s waits %.2f\n", a.Ntf, a.Timeout)
+		fmt.Printf("%s waits %.2f\n", a.NotificationID, a.Timeout)
 	}
 	// Output:
 	// 0.00  push A1 to A
@@ -896,7 +896,7 @@
 // the key of one whose notice is not answered yet waits for that. Pushes used before count.
 func Example_restart() {
 	d := newDesk(6, 1, "A", "B", "C", "D")
-	d.restore("order", "A1", decide.Notification{Ending: true})
+	d.restore("order", "A1", decide.Notification{NoticePending: true})
 	d.restore("order", "A1'", decide.Notification{})
 	d.restore("reading", "B1", decide.Notification{Pushes: 7, RanAt: 98, RanTo: "B"})
 	d.restore("order", "C2", decide.Notification{Pushes: 1, RanAt: 98, RanTo: "C"})
@@ -906,7 +906,7 @@
 	d.at(0.2)
 	d.ended("B", failed, "B1")
 	d.at(0.3)
-	d.m.After(d.now, decide.Outcome{Ntf: "A1", Result: decide.Withdrawn, Over: true})
+	d.m.HandleOutcome(d.now, decide.Outcome{NotificationID: "A1", Result: decide.Withdrawn, Final: true})
 	d.at(0.4)
 	d.at(1.2)
 	// Output:
@@ -945,11 +945,11 @@
 func TestPauseAfterLoss(t *testing.T) {
 	for seed := range uint64(200) {
 		dir := directory.New()
-		m := decide.New(seed<<40+seed, dir, topics, decide.Slots{Calls: 4, Held: 9}, decide.Routes{}, decide.Returns{},
-			decide.Pushes{Most: 8}, decide.Shares{}, true)
+		m := decide.New(seed<<40+seed, dir, topics, decide.Capacity{MaxCalls: 4, MaxHeld: 9}, decide.Routes{}, decide.Recovery{},
+			decide.PushPolicy{MaxPushes: 8}, decide.TenantQuotas{}, true)
 		m.Place(0, decide.Notification{})
-		dir.Failed()
-		if wait, id := m.Wait(1); id != "" || wait < 0.5 || wait > 1 {
+		dir.RecordFailure()
+		if wait, id := m.NextTurn(1); id != "" || wait < 0.5 || wait > 1 {
 			t.Fatalf("seed %d: asked again after %.2f s", seed, wait)
 		}
 	}
@@ -963,7 +963,7 @@
 	d.at(0)
 	d.ended("A", failed, "A1")
 	d.at(0.1)
-	d.m.After(d.now, decide.Outcome{Ntf: "A1", Result: decide.Withdrawn, Over: true})
+	d.m.HandleOutcome(d.now, decide.Outcome{NotificationID: "A1", Result: decide.Withdrawn, Final: true})
 	d.at(0.2)
 	// Output:
 	// 0.00  push A1 to A
@@ -991,7 +991,7 @@
 func Example_unsent() {
 	d := newDesk(6, 40, "A")
 	d.take("reading", "A1")
-	for i, o := range []decide.Outcome{{Result: decide.Moot, Unsent: true}, {Result: decide.Moot}} {
+	for i, o := range []decide.Outcome{{Result: decide.NotAttempted, Unsent: true}, {Result: decide.NotAttempted}} {
 		for range 8 {
 			d.at(float64(i))
 			d.ended("A", o, "A1")
@@ -1025,7 +1025,7 @@
 	d.list("D", "plain", directory.Gone)
 	d.take("reading", "D1", "A1")
 	d.at(0)
-	d.ended("A", decide.Outcome{Result: decide.Moot, Spent: true}, "A1")
+	d.ended("A", decide.Outcome{Result: decide.NotAttempted, NoMorePushes: true}, "A1")
 	// Output:
 	// 0.00  throttle X1
 	// 0.00  push A1 to A
@@ -1093,9 +1093,9 @@
 	d := newDesk(8, 40, "A")
 	d.take("reading", "A1")
 	d.now = 119
-	_, id := d.m.Wait(d.now)
+	_, id := d.m.NextTurn(d.now)
 	a := d.m.Place(d.now, d.hand[id])
-	fmt.Printf("%s waits %.3f, counts %.3f\n", a.Ntf, a.Timeout, a.Counts)
+	fmt.Printf("%s waits %.3f, counts %.3f\n", a.NotificationID, a.Timeout, a.AnswerValidFor)
 	// Output:
 	// A1 waits 0.995, counts 0.995
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -17,7 +17,7 @@
 	dispatchers int
 	rate        float64 // calls a second that it takes warm
 	load        float64 // notifications a second that come for it, times that rate
-	returns     decide.Returns
+	returns     decide.Recovery
 	uneven      bool    // some dispatchers get several times the mean
 	restart     float64 // the part of the dispatchers that restart in the outage, and know nothing
 	outage      float64 // how long it hangs, in seconds; 0 for 20
@@ -60,7 +60,7 @@
 	up, end := f.back(), f.back()+20
 	rng := rand.New(rand.NewPCG(seed, 1))
 	type node struct {
-		m     *decide.Module
+		m     *decide.Scheduler
 		hand  map[string]decide.Notification
 		out   []flight
 		share float64
@@ -69,11 +69,11 @@
 	}
 	newNode := func() *node {
 		dir := directory.New()
-		dir.Change(f.listed())
+		dir.Apply(f.listed())
 		return &node{hand: map[string]decide.Notification{}, m: decide.New(rng.Uint64(), dir,
-			[]decide.Topic{{Name: "reading", Repeat: decide.Repeatable, Group: "all", Objective: 2.5, TTL: 20, Benefit: 1, LateBenefit: 0.4}},
-			decide.Slots{Calls: 12, Held: 60}, decide.Routes{}, f.returns,
-			decide.Pushes{Most: 8, Tick: tick, IdleClose: 15}, decide.Shares{}, false)}
+			[]decide.Topic{{Name: "reading", Repeat: decide.Repeatable, DedupScope: "all", Objective: 2.5, TTL: 20, Benefit: 1, LateBenefit: 0.4}},
+			decide.Capacity{MaxCalls: 12, MaxHeld: 60}, decide.Routes{}, f.returns,
+			decide.PushPolicy{MaxPushes: 8, Tick: tick, IdleTimeout: 15}, decide.TenantQuotas{}, false)}
 	}
 	nodes := make([]*node, f.dispatchers)
 	sum := 0.0
@@ -104,10 +104,10 @@
 					slices.Sort(ids)
 					for _, id := range ids {
 						ntf := x.hand[id]
-						if ntf.Left = ntf.Left - now; ntf.Left > 0 {
-							ntf.Owed = true
+						if ntf.TimeLeft = ntf.TimeLeft - now; ntf.TimeLeft > 0 {
+							ntf.Restored = true
 							y.m.Place(now, ntf)
-							ntf.Left += now
+							ntf.TimeLeft += now
 							y.hand[id] = ntf
 						}
 					}
@@ -123,15 +123,15 @@
 				}
 				changed = true
 				x.told = x.told || c.end != decide.Delivered
-				o := decide.Outcome{Ntf: c.id, Endpoint: c.to, Result: c.end, Latency: now - c.at, Over: c.end == decide.Delivered}
-				if o.Over { // it tells its limit, and what the last second's calls have left of it
+				o := decide.Outcome{NotificationID: c.id, Endpoint: c.to, Result: c.end, Latency: now - c.at, Final: c.end == decide.Delivered}
+				if o.Final { // it tells its limit, and what the last second's calls have left of it
 					lately := 0
 					for i := len(calls) - 1; i >= 0 && calls[i] > now-1; i-- {
 						lately++
 					}
-					o.Reported, o.Limit, o.Share = true, f.rate, math.Max(0, 1-float64(lately)/f.rate)
+					o.LimitReported, o.Limit, o.LimitLeft = true, f.rate, math.Max(0, 1-float64(lately)/f.rate)
 				}
-				a := x.m.After(now, o)
+				a := x.m.HandleOutcome(now, o)
 				if c.end == decide.Delivered {
 					delete(x.hand, c.id)
 				}
@@ -141,10 +141,10 @@
 			if rng.Float64() < x.share*mean*tick {
 				changed = true
 				n++
-				ntf := decide.Notification{ID: fmt.Sprint(n), Topic: "reading", Dest: "D", Left: 20}
+				ntf := decide.Notification{ID: fmt.Sprint(n), Topic: "reading", Dest: "D", TimeLeft: 20}
 				a := x.m.Place(now, ntf)
-				if a.Do == decide.Hold {
-					ntf.Left += now
+				if a.Action == decide.Hold {
+					ntf.TimeLeft += now
 					x.hand[ntf.ID] = ntf
 				}
 			}
@@ -153,14 +153,14 @@
 			}
 			called := math.Inf(-1)
 			for range 200 {
-				wait, id := x.m.Wait(now)
+				wait, id := x.m.NextTurn(now)
 				if wait > 0 {
 					x.wake = now + wait
 					break
 				}
 				ntf := x.hand[id]
 				a := x.m.Place(now, ntf)
-				if a.Do != decide.Push {
+				if a.Action != decide.Push {
 					finish(x.m, x.hand, now, a)
 					continue
 				}
@@ -184,10 +184,10 @@
 	return arrived
 }
 
-func finish(m *decide.Module, hand map[string]decide.Notification, now float64, a decide.Answer) {
-	if a.Do == decide.Throttle || a.Do == decide.Expire {
-		delete(hand, a.Ntf)
-		m.After(now, decide.Outcome{Ntf: a.Ntf, Result: decide.Withdrawn, Over: true})
+func finish(m *decide.Scheduler, hand map[string]decide.Notification, now float64, a decide.Decision) {
+	if a.Action == decide.Throttle || a.Action == decide.Expire {
+		delete(hand, a.NotificationID)
+		m.HandleOutcome(now, decide.Outcome{NotificationID: a.NotificationID, Result: decide.Withdrawn, Final: true})
 	}
 }
 
@@ -196,17 +196,17 @@
 func worst(f fleet, arrived []arrival) (calls int, allowed, at float64) {
 	most, up := math.Inf(-1), f.back()
 	for i, first := range arrived {
-		if first.at > up+f.returns.ColdSpan-f.returns.FallAfter {
+		if first.at > up+f.returns.WarmUp-f.returns.OverloadSpan {
 			break // it is warm
 		}
 		j, told := i, 0
-		for ; j < len(arrived) && arrived[j].at < first.at+f.returns.FallAfter; j++ {
+		for ; j < len(arrived) && arrived[j].at < first.at+f.returns.OverloadSpan; j++ {
 			if arrived[j].told {
 				told++
 			}
 		}
-		warm := f.returns.ColdFrom + (1-f.returns.ColdFrom)*math.Min(1, (first.at-up)/f.returns.ColdSpan)
-		n := f.returns.Multiple * warm * f.rate * f.returns.FallAfter
+		warm := f.returns.InitialCapacity + (1-f.returns.InitialCapacity)*math.Min(1, (first.at-up)/f.returns.WarmUp)
+		n := f.returns.OverloadFactor * warm * f.rate * f.returns.OverloadSpan
 		if over := float64(j-i) - n - chance(n); over > most && 3*told > 2*(j-i) {
 			most, calls, allowed, at = over, j-i, n, first.at-up
 		}
@@ -218,10 +218,10 @@
 
 // terms are what three deployments' settings say of returns, with calls a second that one of their destinations takes.
 var terms = []fleet{
-	{rate: 3, returns: decide.Returns{ColdFrom: 0.22, ColdSpan: 12, Multiple: 2, FallAfter: 1.5}},
-	{rate: 8, returns: decide.Returns{ColdFrom: 0.22, ColdSpan: 12, Multiple: 2, FallAfter: 1.5}},
-	{rate: 6, returns: decide.Returns{ColdFrom: 0.2, ColdSpan: 11, Multiple: 2, FallAfter: 3}},
-	{rate: 20, returns: decide.Returns{ColdFrom: 0.3, ColdSpan: 8, Multiple: 2, FallAfter: 1}},
+	{rate: 3, returns: decide.Recovery{InitialCapacity: 0.22, WarmUp: 12, OverloadFactor: 2, OverloadSpan: 1.5}},
+	{rate: 8, returns: decide.Recovery{InitialCapacity: 0.22, WarmUp: 12, OverloadFactor: 2, OverloadSpan: 1.5}},
+	{rate: 6, returns: decide.Recovery{InitialCapacity: 0.2, WarmUp: 11, OverloadFactor: 2, OverloadSpan: 3}},
+	{rate: 20, returns: decide.Recovery{InitialCapacity: 0.3, WarmUp: 8, OverloadFactor: 2, OverloadSpan: 1}},
 }
 
 // cold plays the returns of a destination before so many dispatchers, half of them started anew in its outage. It gives on how
@@ -244,8 +244,8 @@
 					}
 				}
 			}
-			warm := f.returns.ColdFrom + (1-f.returns.ColdFrom)*1.5/f.returns.ColdSpan
-			of := float64(sent) / (float64(seeds) * 3 * f.returns.Multiple * f.rate * warm)
+			warm := f.returns.InitialCapacity + (1-f.returns.InitialCapacity)*1.5/f.returns.WarmUp
+			of := float64(sent) / (float64(seeds) * 3 * f.returns.OverloadFactor * f.rate * warm)
 			t.Logf("%d dispatchers, %g/s, load %g: fell on %d of %d days, sent %.2f of the budget", dispatchers, f.rate, load, broke, seeds, of)
 			fell, days, part = fell+broke, days+int(seeds), max(part, of)
 		}
--- a/decide/health.go
+++ b/decide/health.go
@@ -23,14 +23,14 @@
 )
 
 // learn takes in an outcome: the throttle's report, refusals, and health.
-func (m *Module) learn(now float64, c *call, h *held, o Outcome) {
+func (m *Scheduler) learn(now float64, c *call, h *held, o Outcome) {
 	g := c.gate
-	if o.Reported {
-		g.limit, g.allowance = o.Limit, o.Share*o.Limit
-		if o.Limit == 0 && o.Share == 0 {
+	if o.LimitReported {
+		g.limit, g.allowance = o.Limit, o.LimitLeft*o.Limit
+		if o.Limit == 0 && o.LimitLeft == 0 {
 			g.allowance = never
 		} else if o.Result == Delivered && !g.recovering {
-			m.learnUsage(g, o.Share)
+			m.learnUsage(g, o.LimitLeft)
 		}
 	}
 	switch o.Result {
@@ -44,7 +44,7 @@
 }
 
 // delivered takes in an answer that delivered.
-func (m *Module) delivered(now float64, c *call, h *held, o Outcome) {
+func (m *Scheduler) delivered(now float64, c *call, h *held, o Outcome) {
 	g, end := c.gate, c.end
 	end.gaps = last(end.gaps, now-max(end.heard, c.at), kept)
 	end.lasted = last(end.lasted, o.Latency, kept)
@@ -65,11 +65,11 @@
 }
 
 // turnedAway takes in a refusal of the endpoint: a limit, no room for connections, or a destination that is shut.
-func (m *Module) turnedAway(now float64, c *call, o Outcome) {
+func (m *Scheduler) turnedAway(now float64, c *call, o Outcome) {
 	g, end := c.gate, c.end
 	end.heard, end.rank = now, -m.rng.float()
-	if o.Crowded { // no limit was passed: it is the endpoint that has no room, for connections of anybody's
-		m.scarce[end.kind] = now + m.pushes.IdleClose
+	if o.TooManyConnections { // no limit was passed: it is the endpoint that has no room, for connections of anybody's
+		m.scarce[end.kind] = now + m.pushes.IdleTimeout
 		end.aside = now + fullStop*(1+m.rng.float())
 		return
 	}
@@ -80,23 +80,23 @@
 	g.stop = max(g.stop, now+wait)
 	g.refused, g.inRow = min(g.refused, now), g.inRow+1
 	g.full, g.jitter = now, m.rng.float()
-	left := m.routes.Apart[end.kind] && o.Share > ample // perhaps no limit refuses: it may be shut
+	left := m.routes.SeparateByKind[end.kind] && o.LimitLeft > ample // perhaps no limit refuses: it may be shut
 	if left {
 		g.jitter *= wider
 	}
 	g.turned = last(g.turned, 1, recent)
 	// Others may use the limit up; a shut destination that tells so as well is found a refusal later for it.
-	full := !m.routes.Apart[end.kind] && o.Reported && o.Share <= ample && g.inRow <= chance
+	full := !m.routes.SeparateByKind[end.kind] && o.LimitReported && o.LimitLeft <= ample && g.inRow <= chance
 	if !full && now+wait-g.refused > shutAfter || left && g.refused < now {
 		m.eject(now, g)
 	}
 }
 
 // broke takes in a push that was not answered as it should be.
-func (m *Module) broke(now float64, c *call, h *held, o Outcome) {
+func (m *Scheduler) broke(now float64, c *call, h *held, o Outcome) {
 	g, end := c.gate, c.end
 	if o.Result == NotConnected || o.Result == Reset {
-		m.scarce[end.kind] = now + m.pushes.IdleClose
+		m.scarce[end.kind] = now + m.pushes.IdleTimeout
 	}
 	if h.hurried && o.Result == TimedOut { // it had little time left: its end says nothing of the endpoint
 		return
@@ -138,7 +138,7 @@
 	bad, inRow := broken(lately), broken(lately[max(0, len(lately)-2):])
 	again := o.Result == NotConnected && end.broke > end.heard && end.broke < now // a connection broke before, with no answer since
 	switch quiet := g.heard < c.at; {
-	case quiet && (inRow == 2 || again || m.routes.Apart[end.kind] || m.rng.float() < m.outageOdds(now, c, h, o)): // nothing was delivered while it was out
+	case quiet && (inRow == 2 || again || m.routes.SeparateByKind[end.kind] || m.rng.float() < m.outageOdds(now, c, h, o)): // nothing was delivered while it was out
 		m.eject(now, g)
 	case bad >= 2 && 2*bad >= len(lately) && !g.down(): // most calls fail, not all
 		g.recovering, g.upSince, g.answered = true, now, now
@@ -149,12 +149,12 @@
 // taken for none, each dispatcher that met one would make one more call: where few calls come to each, nearly all that
 // reach a destination as it returns. The odds are what first failures that ended alike turned out to be; a time-out cut short says less,
 // and the more answers were to be expected meanwhile the more does their absence.
-func (m *Module) outageOdds(now float64, c *call, h *held, o Outcome) float64 {
+func (m *Scheduler) outageOdds(now float64, c *call, h *held, o Outcome) float64 {
 	if o.Result == Failed { // it answers
 		return 0
 	}
 	g, r := c.gate, m.returns
-	if e, ok := m.dir.Find(h.Dest, o.Endpoint); ok && r.Multiple*r.ColdFrom*m.rate(e, g)*r.FallAfter >= float64(r.Dispatchers-1) {
+	if e, ok := m.dir.Find(h.Dest, o.Endpoint); ok && r.OverloadFactor*r.InitialCapacity*m.rate(e, g)*r.OverloadSpan >= float64(r.Dispatchers-1) {
 		return 0 // one call more of each of the others is within the recovery budget
 	}
 	g.first = o.Result
@@ -166,16 +166,16 @@
 	}
 	delivered := 0.0
 	for _, s := range g.ended {
-		if s.weight == 0 && s.at > c.at-r.ColdSpan && s.at <= c.at {
+		if s.weight == 0 && s.at > c.at-r.WarmUp && s.at <= c.at {
 			delivered++
 		}
 	}
-	missed := math.Exp(-delivered / r.ColdSpan * (now - c.at)) // so likely none would have come all the same
+	missed := math.Exp(-delivered / r.WarmUp * (now - c.at)) // so likely none would have come all the same
 	return prior / (prior + (1-prior)*missed)
 }
 
 // judgeFirst learns what a first failure turned out to be by what followed it.
-func (m *Module) judgeFirst(g *gate, outage bool) {
+func (m *Scheduler) judgeFirst(g *gate, outage bool) {
 	switch {
 	case g.first == Delivered:
 	case outage:
@@ -207,7 +207,7 @@
 }
 
 // eject notes an outage: the destination does not answer.
-func (m *Module) eject(now float64, g *gate) {
+func (m *Scheduler) eject(now float64, g *gate) {
 	if !g.down() {
 		g.lastTrial, g.downSince, g.jitter = now, now, m.rng.float()
 		m.down = append(m.down, g)
@@ -217,7 +217,7 @@
 
 // silent tells that an endpoint's silence is unusual, given the gaps and the answer times seen before. It is
 // counted from the first push since the last answer: an older one still out is lost alone.
-func (m *Module) silent(now float64, end *endpoint) bool {
+func (m *Scheduler) silent(now float64, end *endpoint) bool {
 	for _, c := range end.calls {
 		if c.at > end.heard {
 			return now-c.at > max(unusual*mean(end.gaps, firstGap), slowed*mean(end.lasted, mean(m.lasted, firstGap)))
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -10,7 +10,7 @@
 
 // desk plays the adapter for one module and prints what is decided.
 type desk struct {
-	m    *decide.Module
+	m    *decide.Scheduler
 	dir  *directory.Directory
 	hand map[string]decide.Notification
 	now  float64
@@ -22,20 +22,20 @@
 }
 
 var topics = []decide.Topic{
-	{Name: "reading", Repeat: decide.Repeatable, Group: "all", Objective: 2, TTL: 20, Benefit: 1, LateBenefit: 0.4},
-	{Name: "tally", Repeat: decide.Collapsible, Memory: 5, Group: "all", Objective: 2, TTL: 20, Benefit: 1},
-	{Name: "order", Repeat: decide.OnceOnly, Group: "all", Objective: 2, TTL: 20, Benefit: 3, LateBenefit: 0.4,
+	{Name: "reading", Repeat: decide.Repeatable, DedupScope: "all", Objective: 2, TTL: 20, Benefit: 1, LateBenefit: 0.4},
+	{Name: "tally", Repeat: decide.Collapsible, DedupWindow: 5, DedupScope: "all", Objective: 2, TTL: 20, Benefit: 1},
+	{Name: "order", Repeat: decide.OnceOnly, DedupScope: "all", Objective: 2, TTL: 20, Benefit: 3, LateBenefit: 0.4,
 		Ordered: true},
 }
 
 // shape is how the desk's deployment is laid out.
 type shape struct {
 	topics  []decide.Topic
-	slots   decide.Slots
+	slots   decide.Capacity
 	routes  decide.Routes
-	returns decide.Returns
-	pushes  decide.Pushes
-	shares  decide.Shares
+	returns decide.Recovery
+	pushes  decide.PushPolicy
+	shares  decide.TenantQuotas
 	seed    uint64
 }
 
@@ -47,11 +47,11 @@
 // shaped is newDesk for a deployment laid out in another way.
 func shaped(other func(*shape), slots, room int, ends ...string) *desk {
 	d := &desk{dir: directory.New(), hand: map[string]decide.Notification{}, pushed: map[string]bool{}, now: 100}
-	s := shape{topics: slices.Clone(topics), slots: decide.Slots{Calls: slots, Held: room, Batch: map[string]int{"bulk": 3}},
-		routes:  decide.Routes{Apart: map[string]bool{"apart": true}},
-		returns: decide.Returns{ColdFrom: 0.2, ColdSpan: 10, Multiple: 2, FallAfter: 2, Dispatchers: 2},
-		pushes:  decide.Pushes{Most: 8, Settle: 1, Tick: 0.005, IdleClose: 1},
-		shares:  decide.Shares{Rate: map[string]float64{"big": 2}, Beyond: 0.05}}
+	s := shape{topics: slices.Clone(topics), slots: decide.Capacity{MaxCalls: slots, MaxHeld: room, BatchSize: map[string]int{"bulk": 3}},
+		routes:  decide.Routes{SeparateByKind: map[string]bool{"apart": true}},
+		returns: decide.Recovery{InitialCapacity: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2},
+		pushes:  decide.PushPolicy{MaxPushes: 8, KeyCooldown: 1, Tick: 0.005, IdleTimeout: 1},
+		shares:  decide.TenantQuotas{Rate: map[string]float64{"big": 2}, OverQuotaBenefit: 0.05}}
 	s.seed = 7
 	other(&s)
 	d.m = decide.New(s.seed, d.dir, s.topics, s.slots, s.routes, s.returns, s.pushes, s.shares, false)
@@ -65,13 +65,13 @@
 }
 
 func (d *desk) list(id, kind, stage string) {
-	d.dir.Change([]directory.Endpoint{{ID: id, Kind: kind, Dest: id[:1], Stage: stage, Rate: 10}})
+	d.dir.Apply([]directory.Endpoint{{ID: id, Kind: kind, Dest: id[:1], Stage: stage, Rate: 10}})
 }
 
 // take hands in notifications named by topic and destination: "order A1 A2".
 func (d *desk) take(topic string, ids ...string) {
 	for _, id := range ids {
-		ntf := decide.Notification{ID: id, Topic: topic, Dest: id[:1], Left: 20}
+		ntf := decide.Notification{ID: id, Topic: topic, Dest: id[:1], TimeLeft: 20}
 		if topic == "order" {
 			ntf.Key = id[1:2]
 		}
@@ -82,7 +82,7 @@
 
 // restore hands in what is owed since before a restart.
 func (d *desk) restore(topic, id string, was decide.Notification) {
-	was.ID, was.Topic, was.Dest, was.Left, was.Owed = id, topic, id[:1], 20, true
+	was.ID, was.Topic, was.Dest, was.TimeLeft, was.Restored = id, topic, id[:1], 20, true
 	if topic == "order" {
 		was.Key = id[1:2]
 	}
@@ -94,7 +94,7 @@
 func (d *desk) at(now float64) {
 	d.now = 100 + now
 	for range 100 {
-		wait, id := d.m.Wait(d.now)
+		wait, id := d.m.NextTurn(d.now)
 		if wait > 0 {
 			return
 		}
@@ -105,50 +105,50 @@
 
 // waits prints how long the module would wait.
 func (d *desk) waits() {
-	wait, _ := d.m.Wait(d.now)
+	wait, _ := d.m.NextTurn(d.now)
 	fmt.Printf("%.2f  wait %.2f\n", d.now-100, wait)
 }
 
 // ended reports an outcome for pushes to an endpoint.
 func (d *desk) ended(end string, o decide.Outcome, ids ...string) {
 	for _, id := range ids {
-		o.Ntf, o.Endpoint = id, end
-		o.Over = o.Result == decide.Delivered
+		o.NotificationID, o.Endpoint = id, end
+		o.Final = o.Result == decide.Delivered
 		if o.Latency == 0 {
 			o.Latency = 0.1
 		}
-		d.print(d.m.After(d.now, o))
+		d.print(d.m.HandleOutcome(d.now, o))
 	}
 }
 
-var words = map[decide.Do]string{decide.Push: "push", decide.Throttle: "throttle", decide.Expire: "expire",
-	decide.Watch: "watch the list"}
+var words = map[decide.Action]string{decide.Push: "push", decide.Throttle: "throttle", decide.Expire: "expire",
+	decide.WatchList: "watch the list"}
 
-func (d *desk) print(a decide.Answer) {
-	if a.Do == decide.Push {
-		d.pushed[a.Ntf] = true
+func (d *desk) print(a decide.Decision) {
+	if a.Action == decide.Push {
+		d.pushed[a.NotificationID] = true
 	}
 	if d.quiet {
-		if a.Do == decide.Throttle || a.Do == decide.Expire {
-			d.m.After(d.now, decide.Outcome{Ntf: a.Ntf, Result: decide.Withdrawn, Over: true})
+		if a.Action == decide.Throttle || a.Action == decide.Expire {
+			d.m.HandleOutcome(d.now, decide.Outcome{NotificationID: a.NotificationID, Result: decide.Withdrawn, Final: true})
 		}
 		return
 	}
-	switch a.Do {
-	case decide.Hold, decide.Close:
-		if a.Do == decide.Close && d.closing {
+	switch a.Action {
+	case decide.Hold, decide.CloseIdle:
+		if a.Action == decide.CloseIdle && d.closing {
 			fmt.Printf("%.2f  close idle connections to %s\n", d.now-100, a.Endpoint)
 		}
 	case decide.Push:
 		anew := ""
-		if a.Fresh {
+		if a.NewConnection {
 			anew = " anew"
 		}
-		fmt.Printf("%.2f  push %s to %s%s\n", d.now-100, a.Ntf, a.Endpoint, anew)
+		fmt.Printf("%.2f  push %s to %s%s\n", d.now-100, a.NotificationID, a.Endpoint, anew)
 	default:
-		fmt.Printf("%.2f  %s %s\n", d.now-100, words[a.Do], a.Ntf)
+		fmt.Printf("%.2f  %s %s\n", d.now-100, words[a.Action], a.NotificationID)
 		if !d.unheard {
-			d.m.After(d.now, decide.Outcome{Ntf: a.Ntf, Result: decide.Withdrawn, Over: true})
+			d.m.HandleOutcome(d.now, decide.Outcome{NotificationID: a.NotificationID, Result: decide.Withdrawn, Final: true})
 		}
 	}
 }
--- a/decide/hunt_test.go
+++ b/decide/hunt_test.go
@@ -7,12 +7,12 @@
 // A wait binds with whatever answer it stands, also one that tells nothing of the push: here all of a call were void, or
 // the slots were taken.
 func Example_waitInAnyAnswer() {
-	for _, o := range []decide.Outcome{{Result: decide.Moot, Over: true, Wait: 2}, {Result: decide.Moot, NoSlot: true, Wait: 2}} {
+	for _, o := range []decide.Outcome{{Result: decide.NotAttempted, Final: true, Wait: 2}, {Result: decide.NotAttempted, NoSlot: true, Wait: 2}} {
 		d := newDesk(2, 9, "A1")
 		d.take("reading", "Aa")
 		d.at(0)
-		o.Ntf, o.Endpoint = "Aa", "A1"
-		d.m.After(d.now, o)
+		o.NotificationID, o.Endpoint = "Aa", "A1"
+		d.m.HandleOutcome(d.now, o)
 		d.take("reading", "Ab")
 		d.at(1.9)
 		d.at(2.1)
--- a/decide/lines_test.go
+++ b/decide/lines_test.go
@@ -21,13 +21,13 @@
 			out = out[1:]
 		}
 		for range 20 {
-			wait, id := d.m.Wait(d.now)
+			wait, id := d.m.NextTurn(d.now)
 			if wait > 0 {
 				break
 			}
-			if a := d.m.Place(d.now, d.hand[id]); a.Do == decide.Push {
-				left = append(left, fmt.Sprintf("%.1f %s", d.now-100, a.Ntf))
-				out = append(out, flight{a.Ntf, d.now})
+			if a := d.m.Place(d.now, d.hand[id]); a.Action == decide.Push {
+				left = append(left, fmt.Sprintf("%.1f %s", d.now-100, a.NotificationID))
+				out = append(out, flight{a.NotificationID, d.now})
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 		d.take("reading", "A1")
 		d.play(0, 0.5, ok)
 		d.take("reading", "A2")
-		refused := decide.Outcome{Result: decide.Throttled, Reported: true, Share: share, Limit: 10, Wait: 1.5}
+		refused := decide.Outcome{Result: decide.Throttled, LimitReported: true, LimitLeft: share, Limit: 10, Wait: 1.5}
 		d.play(0.5, 3.3, refused)
 		d.take("reading", "A3", "A4", "A5")
 		d.play(3.3, 8, ok)
@@ -75,11 +75,11 @@
 		d := newDesk(8, 40, "A")
 		d.take("reading", "A1")
 		d.take("order", "A2")
-		d.play(0, 0.5, decide.Outcome{Result: decide.Delivered, Reported: true, Share: 0.3, Limit: 4})
+		d.play(0, 0.5, decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0.3, Limit: 4})
 		d.take(topic, "A3")
-		d.play(0.5, 0.6, decide.Outcome{Result: decide.Throttled, Reported: true, Limit: 4, Wait: 0.2})
+		d.play(0.5, 0.6, decide.Outcome{Result: decide.Throttled, LimitReported: true, Limit: 4, Wait: 0.2})
 		d.take(topic, "A4", "A5", "A6")
-		d.play(0.6, 5, decide.Outcome{Result: decide.Delivered, Reported: true, Share: 0.3, Limit: 4})
+		d.play(0.6, 5, decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0.3, Limit: 4})
 	}
 	// Output:
 	// 0.0 A1, 0.0 A2
@@ -97,7 +97,7 @@
 	d.at(0)
 	d.now += 4
 	d.ended("A", late, "A1")
-	d.m.After(d.now, decide.Outcome{Dest: "A", Endpoint: "A", Wait: 3})
+	d.m.HandleOutcome(d.now, decide.Outcome{Dest: "A", Endpoint: "A", Wait: 3})
 	d.at(6.9)
 	d.at(7.1)
 	// Output:
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -12,9 +12,9 @@
 
 // otherTerms differ from those of TestColdFleet and TestColdHundreds in each figure.
 var otherTerms = []fleet{
-	{rate: 4, returns: decide.Returns{ColdFrom: 0.16, ColdSpan: 10, Multiple: 2.5, FallAfter: 2}},
-	{rate: 12, returns: decide.Returns{ColdFrom: 0.28, ColdSpan: 14, Multiple: 2, FallAfter: 1}},
-	{rate: 30, returns: decide.Returns{ColdFrom: 0.2, ColdSpan: 9, Multiple: 2, FallAfter: 1.5}},
+	{rate: 4, returns: decide.Recovery{InitialCapacity: 0.16, WarmUp: 10, OverloadFactor: 2.5, OverloadSpan: 2}},
+	{rate: 12, returns: decide.Recovery{InitialCapacity: 0.28, WarmUp: 14, OverloadFactor: 2, OverloadSpan: 1}},
+	{rate: 30, returns: decide.Recovery{InitialCapacity: 0.2, WarmUp: 9, OverloadFactor: 2, OverloadSpan: 1.5}},
 }
 
 // everyDay is each combination of terms, loads, restarts, endpoints and outages before so many dispatchers.
@@ -63,8 +63,8 @@
 					r.informed++
 				}
 			}
-			warm := f.returns.ColdFrom + (1-f.returns.ColdFrom)*early/2/f.returns.ColdSpan
-			r.informed /= early * f.returns.Multiple * f.rate * warm
+			warm := f.returns.InitialCapacity + (1-f.returns.InitialCapacity)*early/2/f.returns.WarmUp
+			r.informed /= early * f.returns.OverloadFactor * f.rate * warm
 			results[i] = r
 		})
 	}
@@ -130,7 +130,7 @@
 	d.loses("A1")
 	d.at(19)
 	d.ended("A", ok, "A1")
-	calls, span, cold := d.m.Recovery(d.now, directory.Endpoint{ID: "A", Kind: "plain", Dest: "A", Rate: 10})
+	calls, span, cold := d.m.RecoveryBudget(d.now, directory.Endpoint{ID: "A", Kind: "plain", Dest: "A", Rate: 10})
 	fmt.Printf("%.1f calls in %.0f s, cold %v\n", calls, span, cold)
 	// Output:
 	// 0.00  push A1 to A
@@ -182,7 +182,7 @@
 		d.ended("A", ok, "A3")
 		d.now++
 		d.ended("A", decide.Outcome{Result: decide.TimedOut}, "A1", "A2")
-		calls, _, cold := d.m.Recovery(d.now, directory.Endpoint{ID: "A", Kind: "plain", Dest: "A", Rate: 10})
+		calls, _, cold := d.m.RecoveryBudget(d.now, directory.Endpoint{ID: "A", Kind: "plain", Dest: "A", Rate: 10})
 		fmt.Printf("%d lost: %.1f calls, cold %v\n", lost, calls, cold)
 	}
 	// Output:
@@ -255,7 +255,7 @@
 			d := shaped(func(s *shape) { s.returns.Dispatchers = dispatchers }, 40, 60, "A")
 			d.quiet = true
 			for i := range 25 {
-				d.restore("reading", fmt.Sprint("A", i), decide.Notification{Pushes: 1, RanAt: 99, RanTo: "A", Broke: broke})
+				d.restore("reading", fmt.Sprint("A", i), decide.Notification{Pushes: 1, RanAt: 99, RanTo: "A", LastPushFailed: broke})
 			}
 			d.at(3)
 			fmt.Printf("%d dispatchers, a push broke %v: %d at once\n", dispatchers, broke, len(d.pushed))
--- a/decide/state.go
+++ b/decide/state.go
@@ -9,17 +9,17 @@
 
 var never = math.Inf(1)
 
-// Module decides for one dispatcher.
-type Module struct {
+// Scheduler decides for one dispatcher.
+type Scheduler struct {
 	rng      pcg
 	dir      *directory.Directory
 	topics   map[string]Topic
 	top      float64 // highest benefit of a topic type
-	slots    Slots
+	slots    Capacity
 	routes   Routes
-	returns  Returns
-	pushes   Pushes
-	shares   Shares
+	returns  Recovery
+	pushes   PushPolicy
+	shares   TenantQuotas
 	asked    map[string][]float64 // when each tenant's last notifications came
 	ask      bool                 // the list answers only when asked
 	heard    int                  // updates heard when it was last asked
@@ -35,14 +35,14 @@
 	pointer  int
 	granted  bool
 	out      int
-	down     []*gate                 // those of destinations that do not answer
-	lasted   []float64               // the last answer times of all
-	allUsage []float64               // the parts of limits that answers of all told as used
-	firsts   [Note + 1]firstFailures // by how they ended
-	worths   float64                 // the benefits of all taken
-	taken    int                     // notifications taken so far
-	idle     []idle                  // connections left open, oldest first
-	scarce   map[string]float64      // by kind: until when idle connections are closed early
+	down     []*gate                        // those of destinations that do not answer
+	lasted   []float64                      // the last answer times of all
+	allUsage []float64                      // the parts of limits that answers of all told as used
+	firsts   [PeerMessage + 1]firstFailures // by how they ended
+	worths   float64                        // the benefits of all taken
+	taken    int                            // notifications taken so far
+	idle     []idle                         // connections left open, oldest first
+	scarce   map[string]float64             // by kind: until when idle connections are closed early
 }
 
 // held is a notification taken and not yet done with.
@@ -77,7 +77,7 @@
 type likeness struct{ topic, zone string }
 
 // zoned tells that a push of it may have run, and is known in one zone alone.
-func (h *held) zoned() bool { return h.mayRun != never && h.topic.Group == "zone" }
+func (h *held) zoned() bool { return h.mayRun != never && h.topic.DedupScope == "zone" }
 
 // heldTo is the zone that it may be sent to, "" for any.
 func (h *held) heldTo() string {
@@ -88,11 +88,11 @@
 }
 
 // first is the first push that may have run.
-func (h *held) first() First {
+func (h *held) first() FirstRun {
 	if h.mayRun == never {
-		return First{}
+		return FirstRun{}
 	}
-	return First{At: h.mayRun, Zone: h.zone}
+	return FirstRun{SentAt: h.mayRun, Zone: h.zone}
 }
 
 // done tells that nothing more can come of it.
@@ -192,14 +192,14 @@
 // sweep lets go, after each news of the list, of what no decision can need any more: endpoints and destinations no
 // longer listed, with nothing out or held; their throttles, once no wait runs and no return may still be budgeted;
 // keys at rest; tenants that asked nothing for the span in which their share is read.
-func (m *Module) sweep(now float64) {
-	if m.swept == m.dir.Heard {
+func (m *Scheduler) sweep(now float64) {
+	if m.swept == m.dir.Revision {
 		return
 	}
-	m.swept = m.dir.Heard
+	m.swept = m.dir.Revision
 	named := map[string]bool{}
 	for id, d := range m.dests {
-		if !m.dir.Known(id) && len(d.queue) == 0 {
+		if !m.dir.KnownDest(id) && len(d.queue) == 0 {
 			delete(m.dests, id)
 		}
 	}
@@ -207,12 +207,12 @@
 		named[i.end.id] = true
 	}
 	for id, e := range m.ends {
-		if !m.dir.Lists(id) && !named[id] && len(e.calls) == 0 {
+		if !m.dir.Contains(id) && !named[id] && len(e.calls) == 0 {
 			delete(m.ends, id)
 		}
 	}
 	for id, g := range m.gates {
-		listed := id.shared && m.dir.Known(id.of) || !id.shared && m.dir.Lists(id.of)
+		listed := id.shared && m.dir.KnownDest(id.of) || !id.shared && m.dir.Contains(id.of)
 		if !listed && g.out == 0 && g.stop <= now && !m.slowStart(now, g) {
 			delete(m.gates, id)
 		}
@@ -230,7 +230,7 @@
 }
 
 // settle forgets a notification that is over, once its push has an outcome and its key has rested.
-func (m *Module) settle(now float64, h *held) {
+func (m *Scheduler) settle(now float64, h *held) {
 	if !h.done() {
 		return
 	}
@@ -248,16 +248,16 @@
 	shared bool
 }
 
-func (m *Module) dest(id string) *dest {
+func (m *Scheduler) dest(id string) *dest {
 	if m.dests[id] == nil {
 		m.dests[id] = &dest{id: id}
 	}
 	return m.dests[id]
 }
 
-func (m *Module) gate(e directory.Endpoint) *gate {
+func (m *Scheduler) gate(e directory.Endpoint) *gate {
 	id := gateID{of: e.Dest, shared: true}
-	if m.routes.Apart[e.Kind] {
+	if m.routes.SeparateByKind[e.Kind] {
 		id = gateID{of: e.ID}
 	}
 	g := m.gates[id]
@@ -268,7 +268,7 @@
 	return g
 }
 
-func (m *Module) end(id string) *endpoint {
+func (m *Scheduler) end(id string) *endpoint {
 	e := m.ends[id]
 	if e == nil {
 		e = &endpoint{id: id, rank: -m.rng.float(), most: never, topics: map[string]passing{}}
@@ -278,8 +278,8 @@
 }
 
 // zone is that of an endpoint as listed now, for pushes of which nobody kept it.
-func (m *Module) zone(dest, id string) string {
-	for _, e := range m.dir.Of(dest) {
+func (m *Scheduler) zone(dest, id string) string {
+	for _, e := range m.dir.Endpoints(dest) {
 		if e.ID == id {
 			return e.Zone
 		}
@@ -288,7 +288,7 @@
 }
 
 // TTL gives a topic type's, and tells whether it is among the settings.
-func (m *Module) TTL(topic string) (float64, bool) { t, ok := m.topics[topic]; return t.TTL, ok }
+func (m *Scheduler) TTL(topic string) (float64, bool) { t, ok := m.topics[topic]; return t.TTL, ok }
 
 // last appends a sample and keeps the newest n.
 func last[T any](s []T, v T, n int) []T {
--- a/decide/state_test.go
+++ b/decide/state_test.go
@@ -11,16 +11,16 @@
 func Example_forgets() {
 	dir := directory.New()
 	m := New(7, dir, []Topic{{Name: "order", Repeat: OnceOnly, TTL: 20, Objective: 2, Benefit: 1, Ordered: true}},
-		Slots{Calls: 40, Held: 40}, Routes{}, Returns{ColdSpan: 10, Dispatchers: 1},
-		Pushes{Most: 8, Settle: 1.5, Tick: 0.005, IdleClose: 2}, Shares{}, false)
+		Capacity{MaxCalls: 40, MaxHeld: 40}, Routes{}, Recovery{WarmUp: 10, Dispatchers: 1},
+		PushPolicy{MaxPushes: 8, KeyCooldown: 1.5, Tick: 0.005, IdleTimeout: 2}, TenantQuotas{}, false)
 	ends := map[string]Outcome{"A": {Result: Delivered}, "B": {Result: Throttled, Wait: 9},
 		"C": {Result: TimedOut}, "D": {Result: Delivered}}
 	list := func(now float64, stage string) {
 		for _, id := range []string{"A", "B", "C"} {
-			dir.Change([]directory.Endpoint{{ID: id, Dest: id, Stage: stage, Rate: 10}})
+			dir.Apply([]directory.Endpoint{{ID: id, Dest: id, Stage: stage, Rate: 10}})
 		}
-		dir.Change([]directory.Endpoint{{ID: "D", Dest: "D", Stage: directory.Ready, Rate: 10}})
-		for wait, id := m.Wait(now); wait == 0 && id == ""; wait, id = m.Wait(now) {
+		dir.Apply([]directory.Endpoint{{ID: "D", Dest: "D", Stage: directory.Ready, Rate: 10}})
+		for wait, id := m.NextTurn(now); wait == 0 && id == ""; wait, id = m.NextTurn(now) {
 			m.Place(now, Notification{})
 		}
 		fmt.Println(now, len(m.ends), len(m.dests), len(m.gates), len(m.keys), len(m.asked))
@@ -28,13 +28,13 @@
 	list(0, directory.Ready)
 	for _, id := range []string{"A", "B", "C", "D"} {
 		for n := range 2 {
-			ntf := Notification{ID: fmt.Sprint(id, n), Topic: "order", Tenant: id, Dest: id, Key: fmt.Sprint(id, n), Left: 20}
+			ntf := Notification{ID: fmt.Sprint(id, n), Topic: "order", Tenant: id, Dest: id, Key: fmt.Sprint(id, n), TimeLeft: 20}
 			m.Place(1, ntf)
 			m.Place(1, ntf)
 			o := ends[id]
-			o.Ntf, o.Endpoint, o.Over = ntf.ID, id, o.Result == Delivered
-			m.After(1, o)
-			m.After(1, Outcome{Ntf: ntf.ID, Result: Withdrawn})
+			o.NotificationID, o.Endpoint, o.Final = ntf.ID, id, o.Result == Delivered
+			m.HandleOutcome(1, o)
+			m.HandleOutcome(1, Outcome{NotificationID: ntf.ID, Result: Withdrawn})
 		}
 	}
 	list(2, directory.Ready)
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -23,10 +23,10 @@
 
 // Directory is the list as one dispatcher knows it.
 type Directory struct {
-	byDest   map[string][]Endpoint // in the order in which the list named them
-	places   map[string]place      // of each endpoint
-	Heard    int                   // updates taken in, failures too
-	Failures int                   // notices that a watch or a fetch failed, since the last good update
+	byDest              map[string][]Endpoint // in the order in which the list named them
+	places              map[string]place      // of each endpoint
+	Revision            int                   // updates taken in, failures too
+	ConsecutiveFailures int                   // notices that a watch or a fetch failed, since the last good update
 }
 
 // place is where an endpoint stands: at an index among those of its destination.
@@ -50,32 +50,35 @@
 			d.byDest[dest] = nil
 		}
 	}
-	d.Change(list)
+	d.Apply(list)
 }
 
-// Change takes in the entries that changed.
-func (d *Directory) Change(list []Endpoint) {
-	d.Heard++
-	d.Failures = 0
+// Apply takes in the entries that changed.
+func (d *Directory) Apply(list []Endpoint) {
+	d.Revision++
+	d.ConsecutiveFailures = 0
 	for _, e := range list {
 		d.put(e)
 	}
 }
 
-// Known tells whether the list names a destination, or lately did; before there is a list any may be.
-func (d *Directory) Known(dest string) bool { _, ok := d.byDest[dest]; return ok || len(d.byDest) == 0 }
+// KnownDest tells whether the list names a destination, or lately did; before there is a list any may be.
+func (d *Directory) KnownDest(dest string) bool {
+	_, ok := d.byDest[dest]
+	return ok || len(d.byDest) == 0
+}
 
-// Lists tells whether an endpoint is in the list.
-func (d *Directory) Lists(id string) bool { _, ok := d.places[id]; return ok }
+// Contains tells whether an endpoint is in the list.
+func (d *Directory) Contains(id string) bool { _, ok := d.places[id]; return ok }
 
-// Failed notes that a watch or a fetch failed; the list stays as it was.
-func (d *Directory) Failed() {
-	d.Heard++
-	d.Failures++
+// RecordFailure notes that a watch or a fetch failed; the list stays as it was.
+func (d *Directory) RecordFailure() {
+	d.Revision++
+	d.ConsecutiveFailures++
 }
 
-// Of lists the endpoints of a destination that are not known to be gone.
-func (d *Directory) Of(dest string) []Endpoint { return d.byDest[dest] }
+// Endpoints lists the endpoints of a destination that are not known to be gone.
+func (d *Directory) Endpoints(dest string) []Endpoint { return d.byDest[dest] }
 
 // Find returns an endpoint of a destination, as listed.
 func (d *Directory) Find(dest, id string) (Endpoint, bool) {
--- a/disk/disk.go
+++ b/disk/disk.go
@@ -37,8 +37,8 @@
 // lockName is the file that one process at a time holds.
 const lockName = "lock"
 
-// ErrHeld tells that another process has the folder.
-var ErrHeld = errors.New("another process holds it")
+// ErrLocked tells that another process has the folder.
+var ErrLocked = errors.New("another process holds it")
 
 // OpenDir opens a folder for this process alone. The operating system lets go of it with the process, however that ends.
 func OpenDir(path string) (*Dir, error) {
@@ -49,15 +49,15 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = ErrHeld
+			err = ErrLocked
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &Dir{path, lock}, nil
 }
 
-// ReadDir opens a folder only to be read, which may be another process's.
-func ReadDir(path string) (*Dir, error) {
+// OpenDirReadOnly opens a folder only to be read, which may be another process's.
+func OpenDirReadOnly(path string) (*Dir, error) {
 	info, err := os.Stat(path)
 	if err == nil && !info.IsDir() {
 		err = fmt.Errorf("%s is no folder", path)
--- a/disk/faulty/faulty.go
+++ b/disk/faulty/faulty.go
@@ -13,43 +13,43 @@
 	"orchiddrift/disk"
 )
 
-// ErrCrash ends everything once the crash has come.
-var ErrCrash = errors.New("crashed")
+// ErrCrashed ends everything once the crash has come.
+var ErrCrashed = errors.New("crashed")
 
 // Folder is the folder and its disk.
 type Folder struct {
-	Room     int   // bytes that files may take in all; below 0: any
-	Fail     error // of each write, where it is set
-	FailMake error // of each create and remove
-	FailSync error // of each sync
-	Breaks   bool  // with the first sync that fails: no write goes through after it
-	Syncs    int   // so far
-	CrashAt  int   // the write, counted from 1, with which the process ends; 0: never
-	Keep     int   // bytes of that write that are there afterwards
-	Writes   int   // so far
-	Longest  int   // bytes of the longest write
-	Wrote    int   // bytes in all
-	files    map[string]*content
-	crashed  bool
+	CapacityBytes          int   // bytes that files may take in all; below 0: any
+	WriteErr               error // of each write, where it is set
+	CreateRemoveErr        error // of each create and remove
+	SyncErr                error // of each sync
+	FailWritesAfterSyncErr bool  // with the first sync that fails: no write goes through after it
+	Syncs                  int   // so far
+	CrashAtWrite           int   // the write, counted from 1, with which the process ends; 0: never
+	CrashKeepBytes         int   // bytes of that write that are there afterwards
+	Writes                 int   // so far
+	LongestWrite           int   // bytes of the longest write
+	WrittenBytes           int   // bytes in all
+	files                  map[string]*content
+	crashed                bool
 }
 
 type content struct{ b []byte }
 
 // New returns an empty folder with all the room there is.
-func New() *Folder { return &Folder{Room: -1, files: map[string]*content{}} }
+func New() *Folder { return &Folder{CapacityBytes: -1, files: map[string]*content{}} }
 
 // Restart is the folder as the next process finds it, in good order.
 func (f *Folder) Restart() *Folder {
 	next := New()
-	next.Room = f.Room
+	next.CapacityBytes = f.CapacityBytes
 	for name, c := range f.files {
 		next.files[name] = &content{slices.Clone(c.b)}
 	}
 	return next
 }
 
-// Held is what all files take, in whole blocks.
-func (f *Folder) Held() int {
+// UsedBytes is what all files take, in whole blocks.
+func (f *Folder) UsedBytes() int {
 	const block = 512
 	sum := 0
 	for _, c := range f.files {
@@ -58,8 +58,8 @@
 	return sum
 }
 
-// Bytes is a file's content, to look at or to damage.
-func (f *Folder) Bytes(name string) []byte {
+// Content is a file's content, to look at or to damage.
+func (f *Folder) Content(name string) []byte {
 	if c := f.files[name]; c != nil {
 		return c.b
 	}
@@ -81,14 +81,14 @@
 
 func (f *Folder) alive() error {
 	if f.crashed {
-		return ErrCrash
+		return ErrCrashed
 	}
 	return nil
 }
 
 // Create makes an empty file.
 func (f *Folder) Create(name string) (disk.File, error) {
-	if err := errors.Join(f.alive(), f.FailMake); err != nil {
+	if err := errors.Join(f.alive(), f.CreateRemoveErr); err != nil {
 		return nil, err
 	}
 	c := &content{}
@@ -107,12 +107,12 @@
 
 // Remove removes a file. A crash may come with it as with a write.
 func (f *Folder) Remove(name string) error {
-	if err := errors.Join(f.alive(), f.FailMake); err != nil {
+	if err := errors.Join(f.alive(), f.CreateRemoveErr); err != nil {
 		return err
 	}
-	if f.Writes++; f.Writes == f.CrashAt {
-		if f.crashed = true; f.Keep == 0 {
-			return ErrCrash
+	if f.Writes++; f.Writes == f.CrashAtWrite {
+		if f.crashed = true; f.CrashKeepBytes == 0 {
+			return ErrCrashed
 		}
 	}
 	delete(f.files, name)
@@ -141,17 +141,17 @@
 
 func (f *file) WriteAt(b []byte, at int64) (int, error) {
 	d := f.folder
-	if err := errors.Join(d.alive(), d.Fail); err != nil {
+	if err := errors.Join(d.alive(), d.WriteErr); err != nil {
 		return 0, err
 	}
 	d.Writes++
-	d.Longest, d.Wrote = max(d.Longest, len(b)), d.Wrote+len(b)
+	d.LongestWrite, d.WrittenBytes = max(d.LongestWrite, len(b)), d.WrittenBytes+len(b)
 	n, err := len(b), error(nil)
-	if d.Writes == d.CrashAt {
-		d.crashed, n, err = true, min(d.Keep, len(b)), ErrCrash
+	if d.Writes == d.CrashAtWrite {
+		d.crashed, n, err = true, min(d.CrashKeepBytes, len(b)), ErrCrashed
 	}
-	if grown := int(at) + n - len(f.b); grown > 0 && d.Room >= 0 && d.Held()+grown > d.Room {
-		n, err = max(0, n-(d.Held()+grown-d.Room)), fmt.Errorf("%s: %w", f.name, syscall.ENOSPC)
+	if grown := int(at) + n - len(f.b); grown > 0 && d.CapacityBytes >= 0 && d.UsedBytes()+grown > d.CapacityBytes {
+		n, err = max(0, n-(d.UsedBytes()+grown-d.CapacityBytes)), fmt.Errorf("%s: %w", f.name, syscall.ENOSPC)
 	}
 	if grown := int(at) + n - len(f.b); grown > 0 && n > 0 {
 		f.b = append(f.b, make([]byte, grown)...)
@@ -168,8 +168,8 @@
 // Sync counts, and fails as told; all writes after it may.
 func (f *file) Sync() error {
 	f.folder.Syncs++
-	if f.folder.FailSync != nil && f.folder.Breaks {
-		f.folder.Fail = f.folder.FailSync
+	if f.folder.SyncErr != nil && f.folder.FailWritesAfterSyncErr {
+		f.folder.WriteErr = f.folder.SyncErr
 	}
-	return errors.Join(f.folder.alive(), f.folder.FailSync)
+	return errors.Join(f.folder.alive(), f.folder.SyncErr)
 }
--- a/dispatcher/child_test.go
+++ b/dispatcher/child_test.go
@@ -31,7 +31,7 @@
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
 			panic(err)
 		}
-		if err := dispatcher.Run(os.Getenv, dispatcher.Logs{To: os.Stderr, Level: zerolog.InfoLevel}); err != nil {
+		if err := dispatcher.Run(os.Getenv, dispatcher.LogOptions{Output: os.Stderr, Level: zerolog.InfoLevel}); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/dispatcher/config.go
+++ b/dispatcher/config.go
@@ -96,7 +96,7 @@
 
 // parts are what the settings give.
 type parts struct {
-	module     *decide.Module
+	module     *decide.Scheduler
 	apart      map[string]bool
 	batch      map[string]int
 	dial, tick float64
@@ -107,8 +107,8 @@
 const usualGrace = 0.5
 
 func (c *config) parts(dir *directory.Directory) (p parts, err error) {
-	if p.module, err = c.values.Module(c.seed(), dir); err == nil {
-		p.apart, p.batch, p.dial, p.tick = c.values.Apart(), c.values.Batch(), c.values.Seconds("policy-limits.dial-timeout-ms"), c.values.Seconds("tick-ms")
+	if p.module, err = c.values.NewModule(c.seed(), dir); err == nil {
+		p.apart, p.batch, p.dial, p.tick = c.values.SeparateRoutes(), c.values.BatchSizes(), c.values.Seconds("policy-limits.dial-timeout-ms"), c.values.Seconds("tick-ms")
 		p.grace = c.values.FloatOr("guarantees.stop-sending-within-ms", usualGrace*1000) / 1000
 		err = c.values.Err()
 	}
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -40,10 +40,10 @@
 
 // Run serves on this machine until SIGTERM, SIGINT or an error; getenv gives the ROUTER_ variables, and the log goes to
 // logs as told by its format and level.
-func Run(getenv func(string) string, logs Logs) error { return RunOn(Machine(getenv), logs) }
+func Run(getenv func(string) string, logs LogOptions) error { return RunOn(HostSystem(getenv), logs) }
 
 // RunOn serves on a system until SIGTERM, SIGINT or an error.
-func RunOn(system System, logs Logs) error {
+func RunOn(system System, logs LogOptions) error {
 	// Before all else: until then SIGHUP, which may come as soon as the process is there, would end it. A configuration
 	// read before one came is read again.
 	stops, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -78,19 +78,19 @@
 	defer kept.folder.Close()
 
 	agent := platform.NewAgent(c.Discovery, c.Known.Version, log)
-	r := &gateway.Runner{Gateway: gateway.New(p.module, dir, kept.ledger.Room, p.apart, p.batch, p.dial), Ledger: kept.ledger,
+	r := &gateway.Runner{Gateway: gateway.New(p.module, dir, kept.ledger.HasRoom, p.apart, p.batch, p.dial), Ledger: kept.ledger,
 		Platform: agent, Clock: kept.clock, Tick: p.tick, Log: log, Events: make(chan gateway.Event, events),
-		Each: c.Ledger.Sync == syncAlways, Dial: push.Dialer(system.Dial), Metrics: gateway.NewMetrics()}
-	invariants := &invariant.Counters{Log: log, Strict: system.Strict}
+		WritePerEvent: c.Ledger.Sync == syncAlways, Dialer: push.Dialer(system.Dial), Metrics: gateway.NewMetrics()}
+	invariants := &invariant.Counters{Log: log, Strict: system.PanicOnViolation}
 	listBy := kept.clock() + firstWord.Seconds()
-	r.Gateway.Check(invariant.NewSends(invariants, invariant.Margins{Grace: p.grace, Rest: p.module.Settle()}, listBy))
-	log.Info().Int("owed", len(kept.owed)).Int("taken_over", kept.found.TakenOver).Int("listed", len(c.Known.Servers)).Msg("start")
-	r.Gateway.NumberCalls(kept.ledger.LastCall())
-	r.Gateway.Await(listBy)
+	r.Gateway.SetSendChecker(invariant.NewSendChecker(invariants, invariant.Margins{DrainGrace: p.grace, KeyHold: p.module.KeyCooldown()}, listBy))
+	log.Info().Int("owed", len(kept.owed)).Int("taken_over", kept.found.Migrated).Int("listed", len(c.Known.Servers)).Msg("start")
+	r.Gateway.AdvanceCallID(kept.ledger.LastCallNumber())
+	r.Gateway.AwaitFirstList(listBy)
 	r.Restore(kept.owed)
 	go agent.SendNotices()
-	if !c.values.Asked() {
-		agent.Follow(r.Tell)
+	if !c.values.ListOnDemand() {
+		agent.WatchForever(r.Post)
 	}
 	go follow(reloads, system, c, agent, log)
 	ln, err := system.Listen(c.Listen)
@@ -100,8 +100,8 @@
 	if err == nil {
 		start.done("listener")
 	}
-	server := intake.NewServer(kept.clock, p.module.TTL, r.Tell, descriptors(c.Limits.Sockets)/2, log)
-	server.Count(invariants, r.Metrics.Write)
+	server := intake.NewServer(kept.clock, p.module.TTL, r.Post, descriptors(c.Limits.Sockets)/2, log)
+	server.SetMetrics(invariants, r.Metrics.Write)
 	over, failed := make(chan struct{}), make(chan error, 1)
 	end := sync.OnceFunc(func() { close(over) })
 	fail := func(err error) {
@@ -130,7 +130,7 @@
 		stop(server, r, end)
 	}()
 	r.Run(over)
-	log.Info().Int("held", r.Gateway.Held()).Msg("end")
+	log.Info().Int("held", r.Gateway.Pending()).Msg("end")
 	select {
 	case err := <-failed:
 		return err
@@ -150,14 +150,14 @@
 // stop carries out a planned stop.
 func stop(server *intake.Server, r *gateway.Runner, end func()) {
 	begun := time.Now()
-	server.Leave()
+	server.DisableKeepAlives()
 	time.Sleep(clientsUntil - time.Since(begun))
 	go func() {
 		_ = server.Close() // it waits for those that are still answered
-		r.Tell(gateway.Leaving{})
+		r.Post(gateway.IntakeClosed{})
 	}()
 	time.Sleep(startsUntil - time.Since(begun))
-	r.Tell(gateway.Stopping{})
+	r.Post(gateway.PushesStopped{})
 	time.Sleep(endsUntil - time.Since(begun))
 	end()
 }
@@ -192,7 +192,7 @@
 	if _, err := c.parts(directory.New()); err != nil {
 		return err
 	}
-	moved := agent.Move(c.Discovery)
+	moved := agent.SetAddr(c.Discovery)
 	log.Info().Str("discovery", c.Discovery).Bool("moved", moved).Msg("configuration taken")
 	if c.Name != old.Name || c.Listen != old.Listen || c.state != old.state || c.Limits != old.Limits || c.Ledger != old.Ledger ||
 		!bytes.Equal(c.Settings, old.Settings) {
--- a/dispatcher/machine_test.go
+++ b/dispatcher/machine_test.go
@@ -55,7 +55,7 @@
 
 // machine is this machine with the world's variables.
 func (w *world) machine() dispatcher.System {
-	return dispatcher.Machine(func(name string) string { return w.env[name] })
+	return dispatcher.HostSystem(func(name string) string { return w.env[name] })
 }
 
 // startOn runs the dispatcher on a system until it serves.
@@ -68,7 +68,7 @@
 // launch runs the dispatcher on a system.
 func (w *world) launch(system dispatcher.System) {
 	w.ended = make(chan error, 1)
-	go func() { w.ended <- dispatcher.RunOn(system, dispatcher.Logs{}) }()
+	go func() { w.ended <- dispatcher.RunOn(system, dispatcher.LogOptions{}) }()
 }
 
 func (w *world) stop(t *testing.T) {
--- a/dispatcher/rig_test.go
+++ b/dispatcher/rig_test.go
@@ -54,7 +54,9 @@
 func (d *node) start(t *testing.T) {
 	t.Helper()
 	d.ended = make(chan error, 1)
-	go func() { d.ended <- dispatcher.Run(func(name string) string { return d.env[name] }, dispatcher.Logs{}) }()
+	go func() {
+		d.ended <- dispatcher.Run(func(name string) string { return d.env[name] }, dispatcher.LogOptions{})
+	}()
 	within(t, "ready", func() bool {
 		resp, err := http.Get("http://" + d.addr + "/_health")
 		return err == nil && resp.Body.Close() == nil && resp.StatusCode == http.StatusOK
--- a/dispatcher/start.go
+++ b/dispatcher/start.go
@@ -28,7 +28,7 @@
 // for a while, addresses and locks that a process before this one is about to let go of.
 var passing = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS,
 	syscall.EAGAIN, syscall.EINTR, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN, syscall.ENETUNREACH,
-	syscall.EBUSY, syscall.ETIMEDOUT, syscall.ESTALE, disk.ErrHeld}
+	syscall.EBUSY, syscall.ETIMEDOUT, syscall.ESTALE, disk.ErrLocked}
 
 // starter carries out the steps of a start.
 type starter struct {
@@ -97,7 +97,7 @@
 type kept struct {
 	folder Folder
 	ledger *ledger.Ledger
-	owed   []ledger.Owed
+	owed   []ledger.Pending
 	found  ledger.Report
 	clock  func() float64
 }
@@ -116,10 +116,10 @@
 		return nil, err
 	}
 	for _, d := range k.found.Damaged {
-		log.Error().Str("file", d.File).Int("at", d.At).Int("bytes", d.Bytes).Msg("ledger damaged: what is owed from before may have run")
+		log.Error().Str("file", d.File).Int("at", d.Offset).Int("bytes", d.Bytes).Msg("ledger damaged: what is owed from before may have run")
 	}
 	running, err := clock.Open(k.folder, system.Clocks, sync)
-	if errors.Is(err, clock.ErrUnread) {
+	if errors.Is(err, clock.ErrOffsetUnreadable) {
 		return nil, errors.Join(err, k.ledger.Close(), k.folder.Close())
 	}
 	if err != nil {
@@ -135,7 +135,7 @@
 
 // keepLater keeps the clock once the folder can be written to.
 func keepLater(c *clock.Clock, log zerolog.Logger) {
-	for c.Keep() != nil {
+	for c.Save() != nil {
 		time.Sleep(keepPause)
 	}
 	log.Info().Msg("clock kept")
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -17,7 +17,7 @@
 type Call struct {
 	ID       uint64 // its number, once it is about to be sent; the ledger's records of its start and its end name it
 	Endpoint directory.Endpoint
-	Items    []*message.Message
+	Messages []*message.Message
 	Conn     *push.Conn // once it is sent, the connection that it is out on
 	until    float64    // when the longest of its messages' waits is over, or the first of their TTLs
 	first    float64    // until when an answer counts for all of them
@@ -40,38 +40,38 @@
 	return throttled{dest: e.Dest}
 }
 
-// Left is how long the call may still wait.
-func (c *Call) Left(now float64) float64 { return max(0, c.until-now) }
+// Remaining is how long the call may still wait.
+func (c *Call) Remaining(now float64) float64 { return max(0, c.until-now) }
 
 // join puts a push into the latest call of this turn to its endpoint that has room, or into a new one. A call
 // has one connection and so one end, and tells one time: it is waited for as long as any message in it may wait, but
 // not past the first TTL among them. An answer after that is late for one of its messages and may stand for none,
 // though it reads as delivered for all: what was taken as over on it would be lost. This does harm where one with little
 // time left takes others with it that could have waited.
-func (g *Gateway) join(now float64, a decide.Answer) {
-	it := g.hand[a.Ntf]
-	it.start, it.first = now+a.Within, a.First
+func (g *Gateway) join(now float64, a decide.Decision) {
+	it := g.hand[a.NotificationID]
+	it.start, it.first = now+a.StartWithin, a.FirstRun
 	until := now + a.Timeout
 	for i := len(g.forming) - 1; i >= 0; i-- {
 		c := g.forming[i]
-		if c.Endpoint.ID == a.Endpoint && len(c.Items) < g.batch[c.Endpoint.Kind] {
-			if !push.Fits(c.Items, it.message) {
-				it.call = &Call{Endpoint: c.Endpoint, Items: []*message.Message{it.message}, placed: now}
+		if c.Endpoint.ID == a.Endpoint && len(c.Messages) < g.batch[c.Endpoint.Kind] {
+			if !push.Fits(c.Messages, it.message) {
+				it.call = &Call{Endpoint: c.Endpoint, Messages: []*message.Message{it.message}, placed: now}
 				g.overfull = append(g.overfull, it.call)
 				return
 			}
-			c.Items = append(c.Items, it.message)
-			c.first = min(c.first, now+a.Counts)
+			c.Messages = append(c.Messages, it.message)
+			c.first = min(c.first, now+a.AnswerValidFor)
 			c.start = min(c.start, it.start)
 			c.until = min(max(c.until, until), c.first)
-			c.fresh = c.fresh || a.Fresh
+			c.fresh = c.fresh || a.NewConnection
 			it.call = c
 			return
 		}
 	}
 	e, _ := g.dir.Find(it.message.Dest, a.Endpoint)
-	it.call = &Call{Endpoint: e, Items: []*message.Message{it.message}, until: until, first: now + a.Counts,
-		start: it.start, placed: now, fresh: a.Fresh}
+	it.call = &Call{Endpoint: e, Messages: []*message.Message{it.message}, until: until, first: now + a.AnswerValidFor,
+		start: it.start, placed: now, fresh: a.NewConnection}
 	g.forming = append(g.forming, it.call)
 }
 
@@ -81,19 +81,19 @@
 	for _, c := range g.forming {
 		conn := g.reuse(c.Endpoint)
 		if conn != nil && c.fresh { // in its place: an endpoint takes only so many
-			g.do(Shut{conn})
+			g.do(CloseConn{conn})
 			conn = nil
 		}
 		if conn != nil {
 			g.begin(now, c, conn)
 		} else {
-			g.do(Dial{c, min(g.dial, c.Left(now))})
+			g.do(Dial{c, min(g.dial, c.Remaining(now))})
 		}
 	}
 	back := g.overfull
 	g.forming, g.overfull = nil, nil
 	for _, c := range back {
-		g.ended(now, c, push.All(1, push.GivenBack))
+		g.ended(now, c, push.UniformResult(1, push.Withdrawn))
 	}
 	return len(back) > 0
 }
@@ -106,7 +106,7 @@
 		if conn.Addr() == e.Addr && conn.Alive() {
 			return conn
 		}
-		g.do(Shut{conn})
+		g.do(CloseConn{conn})
 	}
 	return nil
 }
@@ -114,28 +114,28 @@
 // connected sends a call on its new connection. If its destination told a wait meanwhile, or the endpoint is
 // no longer listed as ready, the connection is kept and the module asked again; so for a message whose time to start has
 // passed: a connection may take a second to come up, and what may have run is known for a repeat only so long.
-func (g *Gateway) connected(now float64, e Connected) {
+func (g *Gateway) connected(now float64, e Dialed) {
 	c := e.Call
 	if e.Conn == nil {
 		if e.End == push.NoSocket && !g.shutIdle() {
-			g.Pause(now + noSocketPause) // nothing here can be let go for it: others have to
+			g.PausePushes(now + noSocketPause) // nothing here can be let go for it: others have to
 		}
-		g.ended(now, c, push.All(len(c.Items), e.End))
+		g.ended(now, c, push.UniformResult(len(c.Messages), e.End))
 		return
 	}
-	for _, m := range c.Items {
+	for _, m := range c.Messages {
 		if g.on(c, m) && g.hand[m.ID].start < now {
-			g.end(now, c, []*message.Message{m}, push.All(1, push.GivenBack))
+			g.end(now, c, []*message.Message{m}, push.UniformResult(1, push.Withdrawn))
 		}
 	}
-	c.Items = slices.DeleteFunc(c.Items, func(m *message.Message) bool { return !g.on(c, m) })
+	c.Messages = slices.DeleteFunc(c.Messages, func(m *message.Message) bool { return !g.on(c, m) })
 	c.start = math.Inf(1)
-	for _, m := range c.Items {
+	for _, m := range c.Messages {
 		c.start = min(c.start, g.hand[m.ID].start) // of those that are still in it
 	}
-	if len(c.Items) == 0 || !g.MayBegin(now, c) {
+	if len(c.Messages) == 0 || !g.MaySend(now, c) {
 		g.keep(c.Endpoint, e.Conn)
-		g.ended(now, c, push.All(len(c.Items), push.GivenBack))
+		g.ended(now, c, push.UniformResult(len(c.Messages), push.Withdrawn))
 		return
 	}
 	g.begin(now, c, e.Conn)
@@ -145,16 +145,16 @@
 	g.calls++
 	c.ID, c.Conn, c.began = g.calls, conn, now
 	t := g.throttled(c.Endpoint)
-	if calls, span, ok := g.module.Recovery(now, c.Endpoint); ok {
-		g.checks.Recovering(now, c.Items[0].ID, t.String(), calls, span)
+	if calls, span, ok := g.module.RecoveryBudget(now, c.Endpoint); ok {
+		g.checks.CheckRecovery(now, c.Messages[0].ID, t.String(), calls, span)
 	}
-	begin := Begin{Call: c}
-	for _, m := range c.Items {
-		g.checks.Sent(now, m.ID, invariant.Target{Throttle: t.String(), Endpoint: c.Endpoint.ID})
-		begin.Records = append(begin.Records, ledger.Record{Kind: ledger.Began, ID: m.ID, At: now, To: c.Endpoint.ID,
-			Zone: c.Endpoint.Zone, Call: c.ID})
-		if first := g.hand[m.ID].first; first.At > 0 {
-			begin.Repeats = append(begin.Repeats, Repeat{ID: m.ID, Since: now - first.At, Group: g.module.Topic(m.Topic).Group, Zone: first.Zone})
+	begin := SendCall{Call: c}
+	for _, m := range c.Messages {
+		g.checks.CheckSend(now, m.ID, invariant.Target{Throttle: t.String(), Endpoint: c.Endpoint.ID})
+		begin.Records = append(begin.Records, ledger.Record{Kind: ledger.CallStarted, ID: m.ID, StartedAt: now, Endpoint: c.Endpoint.ID,
+			Zone: c.Endpoint.Zone, CallNumber: c.ID})
+		if first := g.hand[m.ID].first; first.SentAt > 0 {
+			begin.Repeats = append(begin.Repeats, Repeat{ID: m.ID, SinceFirst: now - first.SentAt, Group: g.module.Topic(m.Topic).DedupScope, Zone: first.Zone})
 		}
 	}
 	g.do(begin)
@@ -166,16 +166,16 @@
 }
 
 // ended takes in how a call ended, for each message still on it.
-func (g *Gateway) ended(now float64, c *Call, a push.Answer) {
+func (g *Gateway) ended(now float64, c *Call, a push.CallResult) {
 	if c.Conn != nil && a.Reusable {
 		g.keep(c.Endpoint, c.Conn)
 	}
-	if a.Wait > 0 {
-		g.told(now, c.Endpoint, a.Wait)
+	if a.RetryAfter > 0 {
+		g.told(now, c.Endpoint, a.RetryAfter)
 	}
 	var on []*message.Message
 	var ends []push.End
-	for i, m := range c.Items {
+	for i, m := range c.Messages {
 		if g.on(c, m) {
 			on, ends = append(on, m), append(ends, a.Ends[i])
 		}
@@ -187,12 +187,12 @@
 // told takes in a wait that an endpoint told, whoever the answer was for.
 func (g *Gateway) told(now float64, e directory.Endpoint, wait float64) {
 	g.waits[g.throttled(e)] = now
-	g.checks.Waits(g.throttled(e).String(), now+wait)
-	g.module.After(now, decide.Outcome{Dest: e.Dest, Endpoint: e.ID, Wait: wait})
+	g.checks.WaitTold(g.throttled(e).String(), now+wait)
+	g.module.HandleOutcome(now, decide.Outcome{Dest: e.Dest, Endpoint: e.ID, Wait: wait})
 }
 
 // end takes in how a call ended for some of its messages: the ledger has it before the module.
-func (g *Gateway) end(now float64, c *Call, list []*message.Message, a push.Answer) {
+func (g *Gateway) end(now float64, c *Call, list []*message.Message, a push.CallResult) {
 	var records []ledger.Record
 	for i, m := range list {
 		if r, ok := endRecord(c, m.ID, a.Ends[i]); ok {
@@ -200,17 +200,17 @@
 		}
 	}
 	if len(records) > 0 {
-		g.do(Keep{records})
+		g.do(WriteRecords{records})
 	}
 	for i, m := range list {
 		it := g.hand[m.ID]
 		it.call = nil
-		g.checks.Ended(now, c.began, m.ID, a.Ends[i].MayHaveRun(), a.Ends[i].MayStillRun())
+		g.checks.PushEnded(now, c.began, m.ID, a.Ends[i].MayHaveRun(), a.Ends[i].MayStillRun())
 		o := a.Ends[i].Outcome()
-		o.Ntf, o.Endpoint, o.Latency, o.Wait = m.ID, c.Endpoint.ID, now-c.placed, a.Wait
-		o.Reported, o.Share, o.Limit = a.Reported, a.Share, a.Limit
-		g.answer(now, g.module.After(now, o))
-		if o.Over {
+		o.NotificationID, o.Endpoint, o.Latency, o.Wait = m.ID, c.Endpoint.ID, now-c.placed, a.RetryAfter
+		o.LimitReported, o.LimitLeft, o.Limit = a.HasLoadReport, a.LoadShare, a.LoadLimit
+		g.answer(now, g.module.HandleOutcome(now, o))
+		if o.Final {
 			g.drop(m.ID)
 		}
 	}
@@ -222,19 +222,19 @@
 func endRecord(c *Call, id string, end push.End) (ledger.Record, bool) {
 	o := end.Outcome()
 	switch {
-	case o.Over:
-		return ledger.Record{Kind: ledger.Over, ID: id}, true
+	case o.Final:
+		return ledger.Record{Kind: ledger.Completed, ID: id}, true
 	case c.ID == 0:
 		return ledger.Record{}, false
 	case end.MayHaveRun():
-		return ledger.Record{Kind: ledger.MayRun, ID: id, Call: c.ID}, true
+		return ledger.Record{Kind: ledger.CallMayHaveRun, ID: id, CallNumber: c.ID}, true
 	}
-	return ledger.Record{Kind: ledger.NotRun, ID: id, Call: c.ID, Unsent: o.Unsent}, true
+	return ledger.Record{Kind: ledger.CallNotRun, ID: id, CallNumber: c.ID, Unsent: o.Unsent}, true
 }
 
-// MayBegin tells whether a call may still be sent: nothing that was told since it was placed forbids it, and its time to start
+// MaySend tells whether a call may still be sent: nothing that was told since it was placed forbids it, and its time to start
 // is not over.
-func (g *Gateway) MayBegin(now float64, c *Call) bool {
+func (g *Gateway) MaySend(now float64, c *Call) bool {
 	listed, _ := g.dir.Find(c.Endpoint.Dest, c.Endpoint.ID)
 	return listed.Stage == directory.Ready && g.waits[g.throttled(c.Endpoint)] < c.placed && !g.stopped && g.quiet() <= now &&
 		now <= c.start
@@ -249,7 +249,7 @@
 	n := 0
 	for _, id := range slices.Sorted(maps.Keys(g.idle)) {
 		for _, c := range g.idle[id] {
-			g.do(Shut{c})
+			g.do(CloseConn{c})
 			n++
 		}
 	}
--- a/gateway/crossing_test.go
+++ b/gateway/crossing_test.go
@@ -28,7 +28,7 @@
 	r := runner(book, func() float64 { return 1000 })
 	replies := make(chan bool, 9)
 	hand := func() {
-		r.Tell(gateway.Arrived{Message: reading(1020), Reply: func(a gateway.Reply) { replies <- a.Taken }})
+		r.Post(gateway.Arrived{Message: reading(1020), Reply: func(a gateway.Reply) { replies <- a.Accepted }})
 	}
 	run := func() {
 		stop := make(chan struct{})
@@ -38,15 +38,15 @@
 			fmt.Println("taken", <-replies)
 		}
 	}
-	folder.Fail = errors.New("the disk is gone")
+	folder.WriteErr = errors.New("the disk is gone")
 	hand()
 	hand()
 	run()
-	folder.Fail = nil
+	folder.WriteErr = nil
 	hand()
 	hand()
 	run()
-	_, owed, _, _ := ledger.Open(folder, ledger.Options{Limit: 3e6, Read: true})
+	_, owed, _, _ := ledger.Open(folder, ledger.Options{Limit: 3e6, ReadOnly: true})
 	fmt.Println("owed", len(owed))
 	// Output:
 	// taken false
@@ -60,18 +60,18 @@
 // that drained meanwhile gets none. Where nothing is told, the time that was set ends the wait; a loss does so as well.
 func Example_firstWord() {
 	b := newBench("A1")
-	b.g.Await(1000.5)
+	b.g.AwaitFirstList(1000.5)
 	b.take("reading", "A1", "A2")
 	b.at(0.1)
 	b.step(gateway.Listed{Endpoints: []directory.Endpoint{b.line("A1", directory.Draining), b.line("A2", directory.Ready)}})
 	b.at(0.2)
 	b = newBench("A1")
-	b.g.Await(1000.5)
+	b.g.AwaitFirstList(1000.5)
 	b.take("reading", "A1")
 	b.at(0.1)
 	b.at(0.5)
 	b = newBench("A1")
-	b.g.Await(1000.5)
+	b.g.AwaitFirstList(1000.5)
 	b.take("reading", "A1")
 	b.step(gateway.ListLost{})
 	b.at(0.1)
@@ -100,13 +100,13 @@
 			panic(err)
 		}
 		a := reading(1020)
-		a.Topic, a.Mark, a.RanAt, a.RanTo, a.Pushes = "tally", "m1", 996, "A", 1
-		if err := book.Write(ledger.Record{Kind: ledger.Taken, ID: "A1", Message: a}); err != nil {
+		a.Topic, a.IdempotencyKey, a.RanAt, a.RanTo, a.Pushes = "tally", "m1", 996, "A", 1
+		if err := book.Write(ledger.Record{Kind: ledger.Accepted, ID: "A1", Message: a}); err != nil {
 			panic(err)
 		}
 		before := folder.Writes
 		r := runner(book, func() float64 { return 1000 + slow*float64(min(1, folder.Writes-before)) }, strings.TrimPrefix(partner.URL, "http://"))
-		r.Restore([]ledger.Owed{{Message: a}})
+		r.Restore([]ledger.Pending{{Message: a}})
 		_, sent := runUntil(r, asked)
 		fmt.Println("sent", sent)
 		partner.Close()
@@ -123,10 +123,10 @@
 	b.take("reading", "B1")
 	b.at(0)
 	b.open("B1")
-	b.end("B1", push.Answer{Ends: []push.End{push.Done}, Reusable: true})
+	b.end("B1", push.CallResult{Ends: []push.End{push.Delivered}, Reusable: true})
 	b.take("reading", "A1")
 	b.at(0.1)
-	b.step(gateway.Connected{Call: b.calls["A1"], End: push.NoSocket})
+	b.step(gateway.Dialed{Call: b.calls["A1"], End: push.NoSocket})
 	b.at(0.2)
 	// Output:
 	// 0.00  accept B1
@@ -150,11 +150,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		folder.FailSync, folder.Breaks = syscall.EIO, true
+		folder.SyncErr, folder.FailWritesAfterSyncErr = syscall.EIO, true
 		now := 1000.0
 		r := runner(book, func() float64 { return now }, "127.0.0.1:1")
 		var replies []gateway.Reply
-		r.Tell(gateway.Arrived{Message: reading(1020), Reply: func(reply gateway.Reply) { replies = append(replies, reply) }})
+		r.Post(gateway.Arrived{Message: reading(1020), Reply: func(reply gateway.Reply) { replies = append(replies, reply) }})
 		loop := func() {
 			stop := make(chan struct{})
 			time.AfterFunc(200*time.Millisecond, func() { close(stop) })
@@ -165,12 +165,12 @@
 			t.Errorf("answered %+v while the next process would push it", replies)
 		}
 		if heals {
-			folder.FailSync, folder.Fail = nil, nil
+			folder.SyncErr, folder.WriteErr = nil, nil
 		} else {
 			now = 1020.1 // nobody can push it any more
 		}
 		loop()
-		if len(replies) != 1 || replies[0].Taken || replies[0].Why != gateway.LedgerFailed {
+		if len(replies) != 1 || replies[0].Accepted || replies[0].Reason != gateway.LedgerFailed {
 			t.Errorf("heals %v: answered %+v", heals, replies)
 		}
 		if _, owed, _, err := ledger.Open(folder.Restart(), ledger.Options{Limit: 3e6, Sync: true}); err != nil || heals && len(owed) > 0 {
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -17,24 +17,24 @@
 	Reply   func(Reply)
 }
 
-// Unkept tells that an accepted message could not be written to the ledger: it was not taken on.
-type Unkept struct{ ID string }
+// AcceptFailed tells that an accepted message could not be written to the ledger: it was not taken on.
+type AcceptFailed struct{ ID string }
 
-// Connected brings the connection that a call waits for, or how that failed.
-type Connected struct {
+// Dialed brings the connection that a call waits for, or how that failed.
+type Dialed struct {
 	Call *Call
 	Conn *push.Conn
 	End  push.End
 }
 
-// Ended brings the answer to a call.
-type Ended struct {
+// CallEnded brings the answer to a call.
+type CallEnded struct {
 	Call   *Call
-	Answer push.Answer
+	Answer push.CallResult
 }
 
-// ToldLate brings a wait that an endpoint told as its call was given up.
-type ToldLate struct {
+// LateWait brings a wait that an endpoint told as its call was given up.
+type LateWait struct {
 	Endpoint directory.Endpoint
 	Wait     float64
 }
@@ -48,31 +48,31 @@
 // ListLost tells that the list could not be had.
 type ListLost struct{}
 
-// Noticed tells that the platform has answered a notice.
-type Noticed struct{ ID string }
+// NoticeAnswered tells that the platform has answered a notice.
+type NoticeAnswered struct{ ID string }
 
-// Leaving tells that the process is to end and no client comes any more.
-type Leaving struct{}
+// IntakeClosed tells that the process is to end and no client comes any more.
+type IntakeClosed struct{}
 
-// Stopping tells that no push may start any more: it could not end in time.
-type Stopping struct{}
+// PushesStopped tells that no push may start any more: it could not end in time.
+type PushesStopped struct{}
 
-func (Arrived) event()   {}
-func (Unkept) event()    {}
-func (Connected) event() {}
-func (Ended) event()     {}
-func (ToldLate) event()  {}
-func (Listed) event()    {}
-func (ListLost) event()  {}
-func (Noticed) event()   {}
-func (Leaving) event()   {}
-func (Stopping) event()  {}
+func (Arrived) event()        {}
+func (AcceptFailed) event()   {}
+func (Dialed) event()         {}
+func (CallEnded) event()      {}
+func (LateWait) event()       {}
+func (Listed) event()         {}
+func (ListLost) event()       {}
+func (NoticeAnswered) event() {}
+func (IntakeClosed) event()   {}
+func (PushesStopped) event()  {}
 
 // Reply is what a client is told.
 type Reply struct {
-	Taken   bool
-	RetryIn float64 // seconds, when not taken
-	Why     Refusal // when not taken
+	Accepted bool
+	RetryIn  float64 // seconds, when not taken
+	Reason   Refusal // when not taken
 }
 
 // Refusal is why a message was not taken on.
@@ -82,7 +82,7 @@
 const (
 	LedgerFull   Refusal = "ledger full"   // the folder has no room for it
 	LedgerFailed Refusal = "ledger failed" // it could not be written there
-	Stopped      Refusal = "stopping"      // a planned stop is on
+	ShuttingDown Refusal = "stopping"      // a planned stop is on
 	NotPlaceable Refusal = "not placeable" // the decision module has no room or no destination for it
 )
 
@@ -104,17 +104,17 @@
 	Reply
 }
 
-// Keep writes to the ledger.
-type Keep struct{ Records []ledger.Record }
+// WriteRecords writes to the ledger.
+type WriteRecords struct{ Records []ledger.Record }
 
 // Dial opens a connection for a call; Connected follows.
 type Dial struct {
-	Call   *Call
-	Within float64
+	Call    *Call
+	Timeout float64
 }
 
-// Begin writes to the ledger that a call's pushes start, then sends it; Ended follows.
-type Begin struct {
+// SendCall writes to the ledger that a call's pushes start, then sends it; Ended follows.
+type SendCall struct {
 	Call    *Call
 	Records []ledger.Record
 	Repeats []Repeat // of the messages in it, those whose earlier calls may have run
@@ -122,22 +122,22 @@
 
 // Repeat is a message that is called again, for the log.
 type Repeat struct {
-	ID    string
-	Since float64 // seconds since the first call that may have run
-	Group string  // within which the first call is known: all endpoints of the destination, or those of its zone
-	Zone  string  // and that zone
+	ID         string
+	SinceFirst float64 // seconds since the first call that may have run
+	Group      string  // within which the first call is known: all endpoints of the destination, or those of its zone
+	Zone       string  // and that zone
 }
 
-// Shut closes a connection.
-type Shut struct{ Conn *push.Conn }
+// CloseConn closes a connection.
+type CloseConn struct{ Conn *push.Conn }
 
 // Notify sends a notice to the platform until it is answered; Noticed follows.
 type Notify struct {
-	ID      string
-	Outcome string
-	RetryIn float64
-	Dest    string  // for the log: where the message was to go
-	Left    float64 // for the log: seconds of its TTL still left; much left and no push means no room
+	ID           string
+	Outcome      string
+	RetryIn      float64
+	Dest         string  // for the log: where the message was to go
+	RemainingTTL float64 // for the log: seconds of its TTL still left; much left and no push means no room
 }
 
 // Watch follows the list; Listed and ListLost follow.
@@ -146,12 +146,12 @@
 // Fetch asks once for the whole list; Listed or ListLost follows.
 type Fetch struct{}
 
-func (Accept) effect() {}
-func (Answer) effect() {}
-func (Keep) effect()   {}
-func (Dial) effect()   {}
-func (Begin) effect()  {}
-func (Shut) effect()   {}
-func (Notify) effect() {}
-func (Watch) effect()  {}
-func (Fetch) effect()  {}
+func (Accept) effect()       {}
+func (Answer) effect()       {}
+func (WriteRecords) effect() {}
+func (Dial) effect()         {}
+func (SendCall) effect()     {}
+func (CloseConn) effect()    {}
+func (Notify) effect()       {}
+func (Watch) effect()        {}
+func (Fetch) effect()        {}
--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -95,14 +95,14 @@
 // hand hands a message in and tells whether it was taken on.
 func (r *faultRig) hand(until float64) bool {
 	taken := make(chan bool, 1)
-	r.Tell(gateway.Arrived{Message: reading(until), Reply: func(x gateway.Reply) { taken <- x.Taken }})
+	r.Post(gateway.Arrived{Message: reading(until), Reply: func(x gateway.Reply) { taken <- x.Accepted }})
 	return <-taken
 }
 
 // owed counts what the folder owes.
 func (r *faultRig) owed(t *testing.T) int {
 	t.Helper()
-	_, list, _, err := ledger.Open(r.folder.Restart(), ledger.Options{Limit: 3e6, Read: true})
+	_, list, _, err := ledger.Open(r.folder.Restart(), ledger.Options{Limit: 3e6, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 // An untried message waits for its push through a second of a disk that fails, and is not given up by it.
 func pushOutlastsDisk(t *testing.T) {
 	r := newFaultRig(t, time.Now())
-	r.Tell(gateway.ToldLate{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 0.2})
+	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 0.2})
 	if !r.hand(1020) {
 		t.Fatal("not taken on")
 	}
@@ -202,12 +202,12 @@
 // a failed write holds pushes back and nothing else.
 func overdueThoughDiskFails(t *testing.T) {
 	r := newFaultRig(t, time.Now())
-	r.Tell(gateway.ToldLate{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 9})
+	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 9})
 	if !r.hand(1001) {
 		t.Fatal("not taken on")
 	}
 	r.fails.Store(true)
-	r.Tell(gateway.Noticed{ID: "B1"}) // its end cannot be written, and is tried again from then on
+	r.Post(gateway.NoticeAnswered{ID: "B1"}) // its end cannot be written, and is tried again from then on
 	begun := time.Now()
 	expected(t, "its notice", r.notices, "A1 handed_back")
 	if took := time.Since(begun); took > 1200*time.Millisecond {
@@ -218,13 +218,13 @@
 // What is told while a slow write of the ledger holds a push up is heeded: here a wait.
 func TestToldDuringWrite(t *testing.T) {
 	r := newFaultRig(t, time.Now())
-	r.Tell(gateway.ToldLate{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 0.1})
+	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 0.1})
 	if !r.hand(1020) {
 		t.Fatal("not taken on")
 	}
 	r.held.Lock()
 	time.Sleep(300 * time.Millisecond) // by then its start is being written
-	r.Tell(gateway.ToldLate{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 1})
+	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 1})
 	told := time.Now()
 	r.held.Unlock()
 	expected(t, "pushed", r.asked, "A1")
@@ -237,7 +237,7 @@
 func newJumpRig(t *testing.T) (r *faultRig, jump func(time.Duration)) {
 	var ahead atomic.Int64
 	r = newFaultRig(t, time.Now())
-	r.Tell(gateway.Listed{})
+	r.Post(gateway.Listed{})
 	time.Sleep(20 * time.Millisecond)
 	r.over()
 	start := time.Now()
@@ -270,7 +270,7 @@
 // Found by the soak (seed 461055): sent 0.38 s before its dispatcher went on, answered 9 ms too late.
 func TestTimeStoodStill(t *testing.T) {
 	r, jump := newJumpRig(t)
-	r.Tell(gateway.ToldLate{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 9})
+	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 9})
 	time.Sleep(200 * time.Millisecond)
 	jump(700 * time.Millisecond)
 	begun := time.Now()
@@ -289,7 +289,7 @@
 	const write, due = time.Second, 300 * time.Millisecond
 	start := time.Now()
 	r := newFaultRig(t, start)
-	r.Tell(gateway.Listed{})
+	r.Post(gateway.Listed{})
 	until := 1000 + time.Since(start).Seconds() + 0.5
 	if !r.hand(until) {
 		t.Fatal("not taken on")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -23,7 +23,7 @@
 
 // Gateway holds what is in hand.
 type Gateway struct {
-	module   *decide.Module
+	module   *decide.Scheduler
 	dir      *directory.Directory
 	room     func(body int) bool     // the ledger has room for a message
 	apart    map[string]bool         // by kind: endpoints are routes apart
@@ -43,46 +43,46 @@
 	// What is read until waitedUntil, as a stall has ended, may have waited so long in its socket.
 	waited, waitedUntil float64
 	effects             []Effect
-	checks              *invariant.Sends // nil for none
+	checks              *invariant.SendChecker // nil for none
 }
 
 // item is a message in hand.
 type item struct {
 	message *message.Message
 	call    *Call
-	ending  bool         // its notice is out
-	start   float64      // its push may start until then
-	first   decide.First // its first push that may have run, as its present one was placed
+	ending  bool            // its notice is out
+	start   float64         // its push may start until then
+	first   decide.FirstRun // its first push that may have run, as its present one was placed
 }
 
 // New returns a gateway with nothing in hand.
-func New(module *decide.Module, dir *directory.Directory, room func(int) bool, apart map[string]bool, batch map[string]int,
+func New(module *decide.Scheduler, dir *directory.Directory, room func(int) bool, apart map[string]bool, batch map[string]int,
 	dial float64) *Gateway {
 	return &Gateway{module: module, dir: dir, room: room, apart: apart, batch: batch, dial: dial, hand: map[string]*item{},
 		idle: map[string][]*push.Conn{}, waits: map[throttled]float64{}, past: map[string]float64{}}
 }
 
-// Check lets each call be checked as it is sent, by what is told in Step.
-func (g *Gateway) Check(checks *invariant.Sends) { g.checks = checks }
+// SetSendChecker lets each call be checked as it is sent, by what is told in Step.
+func (g *Gateway) SetSendChecker(checks *invariant.SendChecker) { g.checks = checks }
 
-// NumberCalls lets calls have numbers above one: none that the ledger may have of an earlier call.
-func (g *Gateway) NumberCalls(above uint64) { g.calls = max(g.calls, above) }
+// AdvanceCallID lets calls have numbers above one: none that the ledger may have of an earlier call.
+func (g *Gateway) AdvanceCallID(above uint64) { g.calls = max(g.calls, above) }
 
-// Await lets no push start before discovery's first word, or that time: the list known at the start may be old, and what
+// AwaitFirstList lets no push start before discovery's first word, or that time: the list known at the start may be old, and what
 // discovery has counts as told from the first moment on. It does harm where discovery is down, by that time.
-func (g *Gateway) Await(until float64) { g.await = until }
+func (g *Gateway) AwaitFirstList(until float64) { g.await = until }
 
-// Pause lets no push start before a moment.
-func (g *Gateway) Pause(until float64) { g.paused = max(g.paused, until) }
+// PausePushes lets no push start before a moment.
+func (g *Gateway) PausePushes(until float64) { g.paused = max(g.paused, until) }
 
 // clientWaits is how long, in seconds, a client waits for the answer to its request, as the platform has it.
 const clientWaits = 0.4
 
-// StoodStill tells that the process goes on after a stall of so many seconds. No push starts until what was told meanwhile is read.
+// ResumeAfterStall tells that the process goes on after a stall of so many seconds. No push starts until what was told meanwhile is read.
 // Requests that are read by then may have waited in their sockets for as long as their clients wait, and their time is
 // counted from there. It does harm to those that came just now: they have so much less.
-func (g *Gateway) StoodStill(now, stall float64) {
-	g.Pause(now + afterStall)
+func (g *Gateway) ResumeAfterStall(now, stall float64) {
+	g.PausePushes(now + afterStall)
 	g.waited, g.waitedUntil = min(stall, clientWaits), now+afterStall
 }
 
@@ -90,24 +90,24 @@
 func (g *Gateway) quiet() float64 { return max(g.await, g.paused) }
 
 // Restore takes back, in the order they were taken, the messages owed since before a restart.
-func (g *Gateway) Restore(now float64, owed []ledger.Owed) []Effect {
-	g.module.Restarted(now)
+func (g *Gateway) Restore(now float64, owed []ledger.Pending) []Effect {
+	g.module.HandleRestart(now)
 	for _, o := range owed {
 		m := o.Message
-		m.Left, m.Owed, m.Ending = m.Until-now, true, o.Notice != nil
-		m.Broke = o.Last.End == ledger.MayHaveRun
-		g.hand[m.ID] = &item{message: m, ending: m.Ending}
+		m.TimeLeft, m.Restored, m.NoticePending = m.ExpiresAt-now, true, o.Notice != nil
+		m.LastPushFailed = o.LastCall.End == ledger.EndMayHaveRun
+		g.hand[m.ID] = &item{message: m, ending: m.NoticePending}
 		g.taken(m)
 		g.answer(now, g.module.Place(now, m.Notification))
 		if n := o.Notice; n != nil {
-			g.do(Notify{ID: n.ID, Outcome: n.Outcome, RetryIn: n.RetryIn, Dest: m.Dest, Left: m.Left})
+			g.do(Notify{ID: n.ID, Outcome: n.Outcome, RetryIn: n.RetryIn, Dest: m.Dest, RemainingTTL: m.TimeLeft})
 		}
 	}
 	return g.done()
 }
 
-// Held tells how many messages are in hand.
-func (g *Gateway) Held() int { return len(g.hand) }
+// Pending tells how many messages are in hand.
+func (g *Gateway) Pending() int { return len(g.hand) }
 
 // Finished tells that the process can end now: the ledger keeps the rest.
 func (g *Gateway) Finished() bool {
@@ -124,28 +124,28 @@
 	switch e := e.(type) {
 	case Arrived:
 		g.arrived(now, e)
-	case Unkept:
+	case AcceptFailed:
 		g.over(now, e.ID)
 		delete(g.past, e.ID) // nobody has it: it may come again
-	case Connected:
+	case Dialed:
 		g.connected(now, e)
-	case Ended:
+	case CallEnded:
 		g.ended(now, e.Call, e.Answer)
-	case ToldLate:
+	case LateWait:
 		g.told(now, e.Endpoint, e.Wait)
 	case Listed:
 		g.heard()
 		g.listed(now, e)
 	case ListLost:
 		g.heard()
-		g.dir.Failed()
+		g.dir.RecordFailure()
 		g.forget(now)
-	case Noticed:
-		g.do(Keep{[]ledger.Record{{Kind: ledger.Over, ID: e.ID}}})
+	case NoticeAnswered:
+		g.do(WriteRecords{[]ledger.Record{{Kind: ledger.Completed, ID: e.ID}}})
 		g.over(now, e.ID)
-	case Leaving:
+	case IntakeClosed:
 		g.leaving = true
-	case Stopping:
+	case PushesStopped:
 		g.stopped = true
 	}
 	return g.done()
@@ -154,7 +154,7 @@
 // heard ends the wait for discovery's first word.
 func (g *Gateway) heard() {
 	g.await = 0
-	g.checks.Heard()
+	g.checks.ListWaitEnded()
 }
 
 // listed takes in news of the list.
@@ -162,24 +162,24 @@
 	if e.Full {
 		g.dir.Replace(e.Endpoints)
 	} else {
-		g.dir.Change(e.Endpoints)
+		g.dir.Apply(e.Endpoints)
 	}
 	for _, x := range e.Endpoints {
-		g.checks.Listed(now, x.ID, x.Stage == directory.Ready)
+		g.checks.EndpointListed(now, x.ID, x.Stage == directory.Ready)
 	}
 	g.forget(now)
 }
 
-// Turns asks the module whose turn it is until it is nobody's, and gives the seconds until it is to be asked
+// PlaceDue asks the module whose turn it is until it is nobody's, and gives the seconds until it is to be asked
 // again. What goes to one endpoint in one turn shares calls, where its kind allows that.
-func (g *Gateway) Turns(now float64) ([]Effect, float64) {
+func (g *Gateway) PlaceDue(now float64) ([]Effect, float64) {
 	if g.stopped {
 		return nil, math.Inf(1)
 	}
 	for {
-		wait, id := g.module.Wait(now)
+		wait, id := g.module.NextTurn(now)
 		if id != "" && g.quiet() > now {
-			if id = g.module.Overdue(now); id == "" {
+			if id = g.module.Undeliverable(now); id == "" {
 				return g.done(), g.quiet() - now
 			}
 		}
@@ -201,24 +201,24 @@
 func (g *Gateway) arrived(now float64, e Arrived) {
 	m := e.Message
 	if _, past := g.past[m.ID]; past || g.hand[m.ID] != nil { // handed in again though we have it, or had
-		g.do(Answer{m.ID, e.Reply, Reply{Taken: true}})
+		g.do(Answer{m.ID, e.Reply, Reply{Accepted: true}})
 		return
 	}
 	if g.stopped {
-		g.do(Answer{m.ID, e.Reply, Reply{Why: Stopped}})
+		g.do(Answer{m.ID, e.Reply, Reply{Reason: ShuttingDown}})
 		return
 	}
 	if !g.room(len(m.Body)) {
-		g.do(Answer{m.ID, e.Reply, Reply{Why: LedgerFull}})
+		g.do(Answer{m.ID, e.Reply, Reply{Reason: LedgerFull}})
 		return
 	}
 	if now <= g.waitedUntil {
-		m.Until -= g.waited
+		m.ExpiresAt -= g.waited
 	}
-	m.Left = m.Until - now
+	m.TimeLeft = m.ExpiresAt - now
 	a := g.module.Place(now, m.Notification)
-	if a.Do == decide.Throttle {
-		g.do(Answer{m.ID, e.Reply, Reply{RetryIn: a.RetryIn, Why: NotPlaceable}})
+	if a.Action == decide.Throttle {
+		g.do(Answer{m.ID, e.Reply, Reply{RetryIn: a.RetryIn, Reason: NotPlaceable}})
 		return
 	}
 	g.hand[m.ID] = &item{message: m}
@@ -229,36 +229,36 @@
 // taken tells the checks of a message that is in hand from now on.
 func (g *Gateway) taken(m *message.Message) {
 	topic := g.module.Topic(m.Topic)
-	rules := invariant.Rules{Until: m.Until, RanAt: m.RanAt, Once: topic.Repeat == decide.OnceOnly}
+	rules := invariant.Rules{Deadline: m.ExpiresAt, MayHaveRunSince: m.RanAt, OnceOnly: topic.Repeat == decide.OnceOnly}
 	if topic.Repeat == decide.Collapsible {
-		rules.Window = topic.Memory
+		rules.Window = topic.DedupWindow
 	}
 	if topic.Ordered {
 		rules.Key = m.Key
 	}
-	g.checks.Taken(m.ID, rules)
+	g.checks.Accepted(m.ID, rules)
 }
 
 // answer carries out one answer of the module.
-func (g *Gateway) answer(now float64, a decide.Answer) {
-	switch a.Do {
+func (g *Gateway) answer(now float64, a decide.Decision) {
+	switch a.Action {
 	case decide.Push:
 		g.join(now, a)
 	case decide.Throttle:
-		g.notify(now, Notify{ID: a.Ntf, Outcome: HandedBack, RetryIn: a.RetryIn})
+		g.notify(now, Notify{ID: a.NotificationID, Outcome: HandedBack, RetryIn: a.RetryIn})
 	case decide.Expire:
-		g.notify(now, Notify{ID: a.Ntf, Outcome: GivenUp})
-	case decide.Cancel:
-		if it := g.hand[a.Ntf]; it != nil && it.call != nil && it.call.Conn != nil {
-			g.do(Shut{it.call.Conn})
+		g.notify(now, Notify{ID: a.NotificationID, Outcome: GivenUp})
+	case decide.CancelPush:
+		if it := g.hand[a.NotificationID]; it != nil && it.call != nil && it.call.Conn != nil {
+			g.do(CloseConn{it.call.Conn})
 		}
-	case decide.Watch:
+	case decide.WatchList:
 		g.do(Watch{})
-	case decide.Fetch:
+	case decide.FetchList:
 		g.do(Fetch{})
-	case decide.Close:
+	case decide.CloseIdle:
 		for _, c := range g.idle[a.Endpoint] {
-			g.do(Shut{c})
+			g.do(CloseConn{c})
 		}
 		delete(g.idle, a.Endpoint)
 	}
@@ -268,28 +268,28 @@
 func (g *Gateway) notify(now float64, n Notify) {
 	it := g.hand[n.ID]
 	it.ending = true
-	n.Dest, n.Left = it.message.Dest, it.message.Until-now
-	g.checks.Final(n.ID)
-	g.do(Keep{[]ledger.Record{{Kind: ledger.Noticed, ID: n.ID, Outcome: n.Outcome, RetryIn: n.RetryIn}}})
+	n.Dest, n.RemainingTTL = it.message.Dest, it.message.ExpiresAt-now
+	g.checks.Finished(n.ID)
+	g.do(WriteRecords{[]ledger.Record{{Kind: ledger.NoticePending, ID: n.ID, Outcome: n.Outcome, RetryIn: n.RetryIn}}})
 	g.do(n)
 }
 
 // forget lets go, at each news of the list, of what belongs to none any more: idle connections to endpoints that are
 // gone, when destinations no longer known last told a wait, and messages whose TTL has ended since they were over.
 func (g *Gateway) forget(now float64) {
-	g.checks.Forget(now, g.dir.Lists)
+	g.checks.Prune(now, g.dir.Contains)
 	maps.DeleteFunc(g.past, func(_ string, until float64) bool { return until < now })
 	for _, id := range slices.Sorted(maps.Keys(g.idle)) {
-		if len(g.idle[id]) > 0 && g.dir.Lists(id) {
+		if len(g.idle[id]) > 0 && g.dir.Contains(id) {
 			continue
 		}
 		for _, c := range g.idle[id] {
-			g.do(Shut{c})
+			g.do(CloseConn{c})
 		}
 		delete(g.idle, id)
 	}
 	maps.DeleteFunc(g.waits, func(t throttled, _ float64) bool {
-		return !g.dir.Known(t.dest) || t.route != "" && !g.dir.Lists(t.route)
+		return !g.dir.KnownDest(t.dest) || t.route != "" && !g.dir.Contains(t.route)
 	})
 }
 
@@ -297,15 +297,15 @@
 // use it, and what has run must not run twice.
 func (g *Gateway) drop(id string) {
 	if it := g.hand[id]; it != nil {
-		g.past[id] = it.message.Until
+		g.past[id] = it.message.ExpiresAt
 	}
-	g.checks.Final(id)
+	g.checks.Finished(id)
 	delete(g.hand, id)
 }
 
 // over lets go of a message that needs nothing more but to be told of.
 func (g *Gateway) over(now float64, id string) {
-	g.answer(now, g.module.After(now, decide.Outcome{Ntf: id, Result: decide.Withdrawn, Over: true}))
+	g.answer(now, g.module.HandleOutcome(now, decide.Outcome{NotificationID: id, Result: decide.Withdrawn, Final: true}))
 	g.drop(id)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -30,17 +30,17 @@
 	}
 	b := &bench{now: 1000, calls: map[string]*gateway.Call{}, room: true, ln: ln}
 	topics := []decide.Topic{
-		{Name: "reading", Repeat: decide.Repeatable, Group: "all", Objective: 2, TTL: 20, Benefit: 1},
-		{Name: "tally", Repeat: decide.Collapsible, Memory: 5, Group: "all", Objective: 2, TTL: 20, Benefit: 1},
-		{Name: "order", Repeat: decide.OnceOnly, Group: "all", Objective: 4, TTL: 20, Benefit: 3, Ordered: true}}
+		{Name: "reading", Repeat: decide.Repeatable, DedupScope: "all", Objective: 2, TTL: 20, Benefit: 1},
+		{Name: "tally", Repeat: decide.Collapsible, DedupWindow: 5, DedupScope: "all", Objective: 2, TTL: 20, Benefit: 1},
+		{Name: "order", Repeat: decide.OnceOnly, DedupScope: "all", Objective: 4, TTL: 20, Benefit: 3, Ordered: true}}
 	dir := directory.New()
 	for _, e := range ends {
-		dir.Change([]directory.Endpoint{b.line(e, directory.Ready)})
+		dir.Apply([]directory.Endpoint{b.line(e, directory.Ready)})
 	}
 	batch, apart := map[string]int{"bulk": 2}, map[string]bool{"apart": true}
-	m := decide.New(1, dir, topics, decide.Slots{Calls: 6, Held: 9, Batch: batch}, decide.Routes{Apart: apart},
-		decide.Returns{ColdFrom: 0.2, ColdSpan: 10, Multiple: 2, FallAfter: 2, Dispatchers: 2},
-		decide.Pushes{Most: 8, Settle: 1, Tick: 0.005, IdleClose: 10}, decide.Shares{}, false)
+	m := decide.New(1, dir, topics, decide.Capacity{MaxCalls: 6, MaxHeld: 9, BatchSize: batch}, decide.Routes{SeparateByKind: apart},
+		decide.Recovery{InitialCapacity: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2},
+		decide.PushPolicy{MaxPushes: 8, KeyCooldown: 1, Tick: 0.005, IdleTimeout: 10}, decide.TenantQuotas{}, false)
 	b.g = gateway.New(m, dir, func(int) bool { return b.room }, apart, batch, 1.5)
 	return b
 }
@@ -53,7 +53,7 @@
 // take hands in messages named topic, destination and key: "order A1".
 func (b *bench) take(topic string, ids ...string) {
 	for _, id := range ids {
-		m := &message.Message{Until: b.now + 20}
+		m := &message.Message{ExpiresAt: b.now + 20}
 		m.ID, m.Topic, m.Dest = id, topic, id[:1]
 		if topic == "order" {
 			m.Key = id[1:2]
@@ -67,7 +67,7 @@
 // at moves the clock on and lets all go whose turn has come.
 func (b *bench) at(now float64) {
 	b.now = 1000 + now
-	effects, wait := b.g.Turns(b.now)
+	effects, wait := b.g.PlaceDue(b.now)
 	b.show(effects)
 	if math.IsInf(wait, 1) {
 		b.say("nothing to wait for")
@@ -77,11 +77,11 @@
 // open lets a call's connection come up.
 func (b *bench) open(id string) {
 	conn, end := push.Dial(b.ln.Addr().String(), 1)
-	b.step(gateway.Connected{Call: b.calls[id], Conn: conn, End: end})
+	b.step(gateway.Dialed{Call: b.calls[id], Conn: conn, End: end})
 }
 
-func (b *bench) end(id string, a push.Answer) {
-	b.step(gateway.Ended{Call: b.calls[id], Answer: a})
+func (b *bench) end(id string, a push.CallResult) {
+	b.step(gateway.CallEnded{Call: b.calls[id], Answer: a})
 }
 
 func (b *bench) say(format string, args ...any) {
@@ -95,17 +95,17 @@
 			b.say("accept %s", e.Message.ID)
 		case gateway.Answer:
 			b.say("answer %+v", e.Reply)
-		case gateway.Keep:
+		case gateway.WriteRecords:
 			b.say("keep %s", records(e.Records))
 		case gateway.Dial:
 			b.note(e.Call)
-			b.say("dial %s for %s within %.2f", e.Call.Endpoint.ID, items(e.Call), e.Within)
-		case gateway.Begin:
+			b.say("dial %s for %s within %.2f", e.Call.Endpoint.ID, items(e.Call), e.Timeout)
+		case gateway.SendCall:
 			b.note(e.Call)
-			b.say("begin %s to %s within %.2f, keep %s", items(e.Call), e.Call.Endpoint.ID, e.Call.Left(b.now), records(e.Records))
+			b.say("begin %s to %s within %.2f, keep %s", items(e.Call), e.Call.Endpoint.ID, e.Call.Remaining(b.now), records(e.Records))
 		case gateway.Notify:
 			b.say("notify %s %s %.2f", e.ID, e.Outcome, e.RetryIn)
-		case gateway.Shut:
+		case gateway.CloseConn:
 			b.say("shut")
 		default:
 			b.say("%T", e)
@@ -114,14 +114,14 @@
 }
 
 func (b *bench) note(c *gateway.Call) {
-	for _, m := range c.Items {
+	for _, m := range c.Messages {
 		b.calls[m.ID] = c
 	}
 }
 
 func items(c *gateway.Call) string {
 	var ids []string
-	for _, m := range c.Items {
+	for _, m := range c.Messages {
 		ids = append(ids, m.ID)
 	}
 	return strings.Join(ids, "+")
@@ -132,8 +132,8 @@
 	var texts []string
 	for _, r := range list {
 		text := names[r.Kind] + " " + r.ID
-		if r.Call > 0 {
-			text += fmt.Sprint(" #", r.Call)
+		if r.CallNumber > 0 {
+			text += fmt.Sprint(" #", r.CallNumber)
 		}
 		texts = append(texts, text)
 	}
@@ -148,10 +148,10 @@
 	b.at(0)
 	b.open("A2")
 	b.now += 0.1
-	b.end("A2", push.Answer{Ends: []push.End{push.Done, push.TurnedAway}, Reusable: true})
+	b.end("A2", push.CallResult{Ends: []push.End{push.Delivered, push.Throttled}, Reusable: true})
 	b.at(0.2)
 	b.at(1.5)
-	b.end("A2", push.Answer{Ends: []push.End{push.Done}, Reusable: true})
+	b.end("A2", push.CallResult{Ends: []push.End{push.Delivered}, Reusable: true})
 	b.at(10)
 	// Output:
 	// 0.00  accept A1
@@ -173,9 +173,9 @@
 	b.take("order", "A1", "A1'")
 	b.at(0)
 	b.open("A1")
-	b.end("A1", push.All(1, push.BrokeLate))
+	b.end("A1", push.UniformResult(1, push.ConnectionLost))
 	b.at(0.1)
-	b.step(gateway.Noticed{ID: "A1"})
+	b.step(gateway.NoticeAnswered{ID: "A1"})
 	b.at(2)
 	// Output:
 	// 0.00  accept A1
@@ -198,9 +198,9 @@
 	b.at(0)
 	b.open("A1")
 	b.now += 0.5
-	for _, e := range b.g.Step(b.now, gateway.Ended{Call: b.calls["A1"], Answer: push.All(1, push.BrokeLate)}) {
+	for _, e := range b.g.Step(b.now, gateway.CallEnded{Call: b.calls["A1"], Answer: push.UniformResult(1, push.ConnectionLost)}) {
 		if n, ok := e.(gateway.Notify); ok {
-			fmt.Printf("%s %s, to %s with %.1f s left\n", n.ID, n.Outcome, n.Dest, n.Left)
+			fmt.Printf("%s %s, to %s with %.1f s left\n", n.ID, n.Outcome, n.Dest, n.RemainingTTL)
 		}
 	}
 	// Output:
@@ -218,7 +218,7 @@
 	b.at(0)
 	b.open("A1")
 	b.now += 0.02
-	b.end("A1", push.Answer{Ends: []push.End{push.TurnedAway, push.TurnedAway}, Wait: 0.4})
+	b.end("A1", push.CallResult{Ends: []push.End{push.Throttled, push.Throttled}, RetryAfter: 0.4})
 	b.open("A3")
 	b.take("reading", "B1")
 	b.at(0.1)
@@ -249,7 +249,7 @@
 	b.at(0)
 	b.open("A1")
 	b.now += 2
-	b.end("A1", push.All(1, push.Silent))
+	b.end("A1", push.UniformResult(1, push.ResponseTimeout))
 	b.take("reading", "A2")
 	b.at(4.5)
 	b.now += 1.001
@@ -274,7 +274,7 @@
 func Example_largeBodies() {
 	b := newBench("A")
 	for _, id := range []string{"A1", "A2"} {
-		m := &message.Message{Until: b.now + 20, Body: make([]byte, 30<<10)}
+		m := &message.Message{ExpiresAt: b.now + 20, Body: make([]byte, 30<<10)}
 		m.ID, m.Topic, m.Dest = id, "reading", "A"
 		b.step(gateway.Arrived{Message: m, Reply: func(gateway.Reply) {}})
 	}
@@ -294,29 +294,29 @@
 	b.take("reading", "A1", "A1")
 	b.room = false
 	b.take("reading", "A2")
-	b.step(gateway.Unkept{ID: "A1"})
+	b.step(gateway.AcceptFailed{ID: "A1"})
 	b.at(0)
 	// Output:
 	// 0.00  accept A1
-	// 0.00  answer {Taken:true RetryIn:0 Why:}
-	// 0.00  answer {Taken:false RetryIn:0 Why:ledger full}
+	// 0.00  answer {Accepted:true RetryIn:0 Reason:}
+	// 0.00  answer {Accepted:false RetryIn:0 Reason:ledger full}
 	// 0.00  nothing to wait for
 }
 
 // After a restart: an order that may have run is given up, a notice is sent again, the rest is pushed.
 func Example_restart() {
 	b := newBench("A", "B")
-	owed := func(id string, ranAt float64, notice *ledger.Record) ledger.Owed {
-		m := &message.Message{Until: b.now + 9}
+	owed := func(id string, ranAt float64, notice *ledger.Record) ledger.Pending {
+		m := &message.Message{ExpiresAt: b.now + 9}
 		m.ID, m.Topic, m.Dest, m.Key, m.RanAt, m.RanTo = id, "order", id[:1], id[1:2], ranAt, id[:1]
-		return ledger.Owed{Message: m, Notice: notice}
+		return ledger.Pending{Message: m, Notice: notice}
 	}
-	b.show(b.g.Restore(b.now, []ledger.Owed{owed("A1", 998, nil), owed("A2", 0, nil),
+	b.show(b.g.Restore(b.now, []ledger.Pending{owed("A1", 998, nil), owed("A2", 0, nil),
 		owed("B3", 0, &ledger.Record{ID: "B3", Outcome: gateway.HandedBack, RetryIn: 0.5}), owed("B3'", 0, nil)}))
 	b.at(0)
 	b.at(0.9)
 	b.at(1.2)
-	b.step(gateway.Noticed{ID: "B3"})
+	b.step(gateway.NoticeAnswered{ID: "B3"})
 	b.at(1.4)
 	// Output:
 	// 0.00  notify B3 handed_back 0.50
@@ -334,13 +334,13 @@
 	b.take("reading", "A1")
 	b.at(0)
 	b.open("A1")
-	b.step(gateway.Leaving{})
+	b.step(gateway.IntakeClosed{})
 	b.take("reading", "B1")
-	b.step(gateway.Stopping{})
+	b.step(gateway.PushesStopped{})
 	b.at(0.1)
 	fmt.Println(b.g.Finished())
-	b.end("A1", push.All(1, push.Done))
-	fmt.Println(b.g.Finished(), b.g.Held())
+	b.end("A1", push.UniformResult(1, push.Delivered))
+	fmt.Println(b.g.Finished(), b.g.Pending())
 	b.take("reading", "B2")
 	// Output:
 	// 0.00  accept A1
@@ -352,7 +352,7 @@
 	// false
 	// 0.10  keep over A1
 	// true 1
-	// 0.10  answer {Taken:false RetryIn:0 Why:stopping}
+	// 0.10  answer {Accepted:false RetryIn:0 Reason:stopping}
 }
 
 // Two messages share a call: it tells, and is waited for, the time that the first TTL leaves, not the longest wait. An
@@ -366,7 +366,7 @@
 	b.at(18)
 	b.open("A1")
 	b.now = 1019.999
-	b.end("A2", push.All(2, push.Silent))
+	b.end("A2", push.UniformResult(2, push.ResponseTimeout))
 	// Output:
 	// 0.00  accept A1
 	// 18.00  accept A2
@@ -387,7 +387,7 @@
 	b.take("reading", "A1")
 	b.at(0)
 	b.open("A1")
-	b.end("A1", push.Answer{Ends: []push.End{push.Done}, Reusable: true})
+	b.end("A1", push.CallResult{Ends: []push.End{push.Delivered}, Reusable: true})
 	b.now++
 	b.step(gateway.Listed{Endpoints: []directory.Endpoint{b.line("A", directory.Gone)}})
 	// Output:
@@ -406,13 +406,13 @@
 	b.take("reading", "A1")
 	b.at(0)
 	b.open("A1")
-	b.end("A1", push.All(1, push.BrokeLate))
+	b.end("A1", push.UniformResult(1, push.ConnectionLost))
 	b.at(2)
 	b.open("A1")
-	b.end("A1", push.Answer{Ends: []push.End{push.Done}, Reusable: true})
+	b.end("A1", push.CallResult{Ends: []push.End{push.Delivered}, Reusable: true})
 	b.take("reading", "A2")
 	b.at(2.1)
-	b.end("A2", push.Answer{Ends: []push.End{push.Done}, Reusable: true})
+	b.end("A2", push.CallResult{Ends: []push.End{push.Delivered}, Reusable: true})
 	b.take("order", "A3")
 	b.at(4)
 	// Output:
@@ -442,7 +442,7 @@
 	b.take("order", "A1")
 	b.at(0)
 	b.open("A1")
-	b.end("A1", push.All(1, push.Done))
+	b.end("A1", push.UniformResult(1, push.Delivered))
 	b.take("order", "A1")
 	b.at(1)
 	b.now += 20
@@ -454,7 +454,7 @@
 	// 0.00  nothing to wait for
 	// 0.00  begin A1 to A within 8.00, keep began A1 #1
 	// 0.00  keep over A1
-	// 0.00  answer {Taken:true RetryIn:0 Why:}
+	// 0.00  answer {Accepted:true RetryIn:0 Reason:}
 	// 21.00  accept A1
 }
 
@@ -470,7 +470,7 @@
 	b.at(0)
 	b.open("A1")
 	b.now += 0.02
-	b.end("A1", push.Answer{Ends: []push.End{push.TurnedAway}, Wait: 0.4})
+	b.end("A1", push.CallResult{Ends: []push.End{push.Throttled}, RetryAfter: 0.4})
 	b.open("A2")
 	// Output:
 	// 0.00  accept A1
--- a/gateway/late_test.go
+++ b/gateway/late_test.go
@@ -27,11 +27,11 @@
 	b.at(0)
 	b.open("A1")
 	b.at(4)
-	b.end("A1", push.Answer{Ends: []push.End{push.Silent}, Late: true})
+	b.end("A1", push.CallResult{Ends: []push.End{push.ResponseTimeout}, LateResponsePending: true})
 	b.take("reading", "A2")
 	b.at(4)
 	b.now += 0.02
-	b.step(gateway.ToldLate{Endpoint: b.line("A1", directory.Ready), Wait: 3})
+	b.step(gateway.LateWait{Endpoint: b.line("A1", directory.Ready), Wait: 3})
 	b.open("A2")
 	b.at(6.9)
 	b.at(7.1)
@@ -61,7 +61,7 @@
 		}
 		r := runner(book, func() float64 { return 1000 }, addr)
 		r.Gateway.Step(1000, gateway.Arrived{Message: reading(1020), Reply: func(gateway.Reply) {}}) // it waits for its turn
-		r.Tell(gateway.ToldLate{Endpoint: directory.Endpoint{ID: addr, Dest: "A", Kind: "bulk"}, Wait: 9})
+		r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: addr, Dest: "A", Kind: "bulk"}, Wait: 9})
 		if _, ok := runUntil(r, asked); ok {
 			sent++
 		}
@@ -108,7 +108,7 @@
 	r.Log = zerolog.New(lineWith{"wait told late", heard})
 	stop, ended := make(chan struct{}), make(chan bool)
 	go func() { r.Run(stop); close(ended) }()
-	r.Tell(gateway.Arrived{Message: reading(1000.3), Reply: func(gateway.Reply) {}})
+	r.Post(gateway.Arrived{Message: reading(1000.3), Reply: func(gateway.Reply) {}})
 	var at time.Time
 	select {
 	case at = <-heard:
@@ -119,7 +119,7 @@
 	for took := false; !took; { // while the first still stands in the queue there may be no room: a client comes again
 		next := reading(1020)
 		next.ID = "A2"
-		r.Tell(gateway.Arrived{Message: next, Reply: func(x gateway.Reply) { taken <- x.Taken }})
+		r.Post(gateway.Arrived{Message: next, Reply: func(x gateway.Reply) { taken <- x.Accepted }})
 		if took = <-taken; !took {
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/gateway/metrics_test.go
+++ b/gateway/metrics_test.go
@@ -11,14 +11,14 @@
 // allocation for each push by this test.
 func TestCountAllocatesNothing(t *testing.T) {
 	m := NewMetrics()
-	m.ended(push.Done)
+	m.ended(push.Delivered)
 	m.repeated()
-	if n := testing.AllocsPerRun(100, func() { m.ended(push.Done); m.repeated() }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { m.ended(push.Delivered); m.repeated() }); n > 0 {
 		t.Errorf("%g allocations for a push", n)
 	}
 	var text strings.Builder
 	m.Write(&text)
-	for _, line := range []string{`orchiddrift_pushes_total{end="` + push.Done.String() + `"} 102`, "orchiddrift_repeats_total 102"} {
+	for _, line := range []string{`orchiddrift_pushes_total{end="` + push.Delivered.String() + `"} 102`, "orchiddrift_repeats_total 102"} {
 		if !strings.Contains(text.String(), line+"\n") {
 			t.Errorf("no line %q in\n%s", line, text.String())
 		}
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -19,22 +19,22 @@
 
 // Runner carries out what a gateway asks for, and brings it what happens.
 type Runner struct {
-	Gateway   *Gateway
-	Ledger    *ledger.Ledger
-	Platform  Platform
-	Clock     func() float64
-	Tick      float64 // the least seconds between two rounds of turns
-	Log       zerolog.Logger
-	Events    chan Event
-	Dial      push.Dialer // nil for this machine's
-	Each      bool        // each event's records are written, and synced, by themselves
-	Metrics   *Metrics    // nil for none
-	listLost  bool        // the log has said so
-	batch     []Effect
-	unwritten bool // the last write failed, and the log has said so
-	late      []late
-	refusals  []refusal // that are not sure yet
-	due       float64   // when the loop meant to look next
+	Gateway       *Gateway
+	Ledger        *ledger.Ledger
+	Platform      Platform
+	Clock         func() float64
+	Tick          float64 // the least seconds between two rounds of turns
+	Log           zerolog.Logger
+	Events        chan Event
+	Dialer        push.Dialer // nil for this machine's
+	WritePerEvent bool        // each event's records are written, and synced, by themselves
+	Metrics       *Metrics    // nil for none
+	listLost      bool        // the log has said so
+	batch         []Effect
+	unwritten     bool // the last write failed, and the log has said so
+	late          []late
+	refusals      []refusal // that are not sure yet
+	due           float64   // when the loop meant to look next
 }
 
 // A process that stood still longer than stalled, in seconds, may have been told things that no event says yet: no push
@@ -65,7 +65,7 @@
 		case e := <-r.Events:
 			r.wake()
 			r.step(e)
-			if r.Each {
+			if r.WritePerEvent {
 				r.flush()
 			}
 		case <-timer.C:
@@ -84,7 +84,7 @@
 
 // turns lets go all whose turn has come, and tells when to look again, in seconds.
 func (r *Runner) turns(now float64) float64 {
-	effects, next := r.Gateway.Turns(now)
+	effects, next := r.Gateway.PlaceDue(now)
 	r.batch = append(r.batch, effects...)
 	r.flush()
 	if len(r.late) > 0 {
@@ -98,7 +98,7 @@
 	now := r.Clock()
 	if late := now - r.due; late > stalled {
 		r.Log.Warn().Float64("late", late).Msg("the process stood still")
-		r.Gateway.StoodStill(now, late)
+		r.Gateway.ResumeAfterStall(now, late)
 	}
 }
 
@@ -112,7 +112,7 @@
 func (r *Runner) takeStep(n int) {
 	for ; n > 0; n-- {
 		r.step(<-r.Events)
-		if r.Each {
+		if r.WritePerEvent {
 			r.flush()
 		}
 	}
@@ -128,14 +128,14 @@
 }
 
 // Restore takes back what is owed since before a restart.
-func (r *Runner) Restore(owed []ledger.Owed) {
+func (r *Runner) Restore(owed []ledger.Pending) {
 	r.logOwed(owed)
 	r.batch = append(r.batch, r.Gateway.Restore(r.Clock(), owed)...)
 	r.flush()
 }
 
-// Tell hands an event to the loop.
-func (r *Runner) Tell(e Event) { r.Events <- e }
+// Post hands an event to the loop.
+func (r *Runner) Post(e Event) { r.Events <- e }
 
 func (r *Runner) step(e Event) {
 	r.log(e)
--- a/gateway/run_test.go
+++ b/gateway/run_test.go
@@ -35,15 +35,15 @@
 		}
 		r := runner(book, func() float64 { return 1000 })
 		a := reading(1020)
-		if err := book.Write(ledger.Record{Kind: ledger.Taken, ID: "A1", Message: a}); err != nil {
+		if err := book.Write(ledger.Record{Kind: ledger.Accepted, ID: "A1", Message: a}); err != nil {
 			panic(err)
 		}
-		r.Restore([]ledger.Owed{{Message: a}})
-		r.Tell(gateway.Noticed{ID: "A1"})
+		r.Restore([]ledger.Pending{{Message: a}})
+		r.Post(gateway.NoticeAnswered{ID: "A1"})
 		stop := make(chan struct{})
 		close(stop)
 		r.Run(stop)
-		_, list, _, _ := ledger.Open(folder, ledger.Options{Limit: 3e6, Read: true})
+		_, list, _, _ := ledger.Open(folder, ledger.Options{Limit: 3e6, ReadOnly: true})
 		owed += len(list)
 		_ = os.RemoveAll(dir)
 	}
@@ -66,7 +66,7 @@
 		before := folder.Writes
 		r := runner(book, func() float64 { return 1000 + 0.5*float64(folder.Writes-before) }, strings.TrimPrefix(partner.URL, "http://"))
 		a := reading(until)
-		r.Tell(gateway.Arrived{Message: a, Reply: func(gateway.Reply) {}})
+		r.Post(gateway.Arrived{Message: a, Reply: func(gateway.Reply) {}})
 		if left, ok := runUntil(r, asked); ok {
 			fmt.Println("told", left)
 		} else {
@@ -97,19 +97,19 @@
 func runner(book *ledger.Ledger, clock func() float64, addrs ...string) *gateway.Runner {
 	known := directory.New()
 	for _, addr := range addrs {
-		known.Change([]directory.Endpoint{{ID: addr, Dest: "A", Kind: "bulk", Stage: directory.Ready, Addr: addr}})
+		known.Apply([]directory.Endpoint{{ID: addr, Dest: "A", Kind: "bulk", Stage: directory.Ready, Addr: addr}})
 	}
 	m := decide.New(1, known, []decide.Topic{{Name: "reading", Repeat: decide.Repeatable, Objective: 2, TTL: 20},
-		{Name: "tally", Repeat: decide.Collapsible, Memory: 5, Group: "all", Objective: 2, TTL: 20}},
-		decide.Slots{Calls: 6, Held: 9}, decide.Routes{},
-		decide.Returns{ColdFrom: 0.2, ColdSpan: 10, Multiple: 2, FallAfter: 2, Dispatchers: 2}, decide.Pushes{Most: 8, Tick: 0.005}, decide.Shares{}, false)
-	return &gateway.Runner{Gateway: gateway.New(m, known, book.Room, nil, nil, 1), Ledger: book, Log: zerolog.Nop(),
+		{Name: "tally", Repeat: decide.Collapsible, DedupWindow: 5, DedupScope: "all", Objective: 2, TTL: 20}},
+		decide.Capacity{MaxCalls: 6, MaxHeld: 9}, decide.Routes{},
+		decide.Recovery{InitialCapacity: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2}, decide.PushPolicy{MaxPushes: 8, Tick: 0.005}, decide.TenantQuotas{}, false)
+	return &gateway.Runner{Gateway: gateway.New(m, known, book.HasRoom, nil, nil, 1), Ledger: book, Log: zerolog.Nop(),
 		Platform: nobody{}, Clock: clock, Events: make(chan gateway.Event, 9)}
 }
 
 // reading is a message A1 for destination A.
 func reading(until float64) *message.Message {
-	m := &message.Message{Until: until}
+	m := &message.Message{ExpiresAt: until}
 	m.ID, m.Topic, m.Dest = "A1", "reading", "A"
 	return m
 }
--- a/gateway/write.go
+++ b/gateway/write.go
@@ -70,7 +70,7 @@
 				bytes += len(x.Message.Body)
 			}
 		}
-		if bytes > r.Ledger.Group() && n > 0 {
+		if bytes > r.Ledger.BatchBytes() && n > 0 {
 			break
 		}
 		records = append(records, list...)
@@ -87,10 +87,10 @@
 func recordsOf(e Effect) []ledger.Record {
 	switch e := e.(type) {
 	case Accept:
-		return []ledger.Record{{Kind: ledger.Taken, ID: e.Message.ID, Message: e.Message}}
-	case Keep:
+		return []ledger.Record{{Kind: ledger.Accepted, ID: e.Message.ID, Message: e.Message}}
+	case WriteRecords:
 		return e.Records
-	case Begin:
+	case SendCall:
 		return e.Records
 	}
 	return nil
@@ -107,7 +107,7 @@
 func (r *Runner) writeLate() {
 	r.answerRefused()
 	for len(r.late) > 0 {
-		if k, ok := r.late[0].effect.(Keep); ok && !r.put(k.Records) {
+		if k, ok := r.late[0].effect.(WriteRecords); ok && !r.put(k.Records) {
 			break
 		}
 		r.notifyLate(r.late[0])
@@ -117,7 +117,7 @@
 		return
 	}
 	now := r.Clock()
-	r.Gateway.Pause(now + diskRetry)
+	r.Gateway.PausePushes(now + diskRetry)
 	r.late = slices.DeleteFunc(r.late, func(l late) bool { return l.due > 0 && l.due <= now && r.notifyLate(l) })
 }
 
@@ -139,13 +139,13 @@
 	if len(r.refusals) == 0 {
 		return
 	}
-	settled, now := r.Ledger.Settle(), r.Clock()
+	settled, now := r.Ledger.DiscardFailedWrite(), r.Clock()
 	r.refusals = slices.DeleteFunc(r.refusals, func(x refusal) bool {
 		if !settled && now < x.until {
 			return false
 		}
 		r.Metrics.refused(LedgerFailed)
-		x.to(Reply{Why: LedgerFailed})
+		x.to(Reply{Reason: LedgerFailed})
 		return true
 	})
 }
@@ -164,73 +164,73 @@
 	switch e := e.(type) {
 	case Accept:
 		if w.all {
-			e.Reply(Reply{Taken: true})
+			e.Reply(Reply{Accepted: true})
 			r.Log.Debug().Str("ntf", e.Message.ID).Str("topic", e.Message.Topic).Str("dest", e.Message.Dest).Str("key", e.Message.Key).
-				Float64("left", e.Message.Left).Msg("taken")
+				Float64("left", e.Message.TimeLeft).Msg("taken")
 			return
 		}
-		unkept[e.Message.ID] = e.Message.Until
-		r.refuse(e.Reply, e.Message.Until)
-		r.step(Unkept{e.Message.ID})
+		unkept[e.Message.ID] = e.Message.ExpiresAt
+		r.refuse(e.Reply, e.Message.ExpiresAt)
+		r.step(AcceptFailed{e.Message.ID})
 	case Answer:
 		if until, first := unkept[e.ID]; first { // it came twice, and the first is refused
 			r.refuse(e.To, until)
 			return
 		}
-		if !e.Taken {
-			r.Metrics.refused(e.Why)
+		if !e.Accepted {
+			r.Metrics.refused(e.Reason)
 		}
 		e.To(e.Reply)
-	case Keep:
+	case WriteRecords:
 		if !w.ends && len(e.Records) > 0 {
 			r.late = append(r.late, late{effect: e})
 		}
 	case Dial:
 		go func() {
-			conn, end := r.dial(e.Call.Endpoint.Addr, e.Within)
-			r.Tell(Connected{e.Call, conn, end})
+			conn, end := r.dial(e.Call.Endpoint.Addr, e.Timeout)
+			r.Post(Dialed{e.Call, conn, end})
 		}()
-	case Begin:
+	case SendCall:
 		r.begin(e, w.ends, unkept)
-	case Shut:
+	case CloseConn:
 		e.Conn.Close()
 	case Notify:
-		if len(r.late) > 0 && e.Left > 0 {
-			r.late = append(r.late, late{e, r.Clock() + e.Left})
+		if len(r.late) > 0 && e.RemainingTTL > 0 {
+			r.late = append(r.late, late{e, r.Clock() + e.RemainingTTL})
 		} else {
 			r.notify(e)
 		}
 	case Watch:
-		r.Platform.Watch(r.Tell)
+		r.Platform.Watch(r.Post)
 	case Fetch:
-		r.Platform.Fetch(r.Tell)
+		r.Platform.Fetch(r.Post)
 	}
 }
 
 // begin sends a call whose start is in the ledger. One whose start cannot be written is given back, as is one that what was
 // told during the write forbids.
-func (r *Runner) begin(e Begin, written bool, unkept map[string]float64) {
+func (r *Runner) begin(e SendCall, written bool, unkept map[string]float64) {
 	unknown := func(x ledger.Record) bool { _, not := unkept[x.ID]; return not }
-	end := push.GivenBack
+	end := push.Withdrawn
 	if !written || slices.ContainsFunc(e.Records, unknown) {
-		end = push.Unkept
-		r.Gateway.Pause(r.Clock() + diskRetry)
-	} else if r.Gateway.MayBegin(r.Clock(), e.Call) {
-		r.trace(e.Call, "push", push.Answer{})
+		end = push.LedgerFailed
+		r.Gateway.PausePushes(r.Clock() + diskRetry)
+	} else if r.Gateway.MaySend(r.Clock(), e.Call) {
+		r.trace(e.Call, "push", push.CallResult{})
 		r.logRepeats(e)
 		go r.call(e.Call)
 		return
 	}
-	a := push.All(len(e.Call.Items), end)
+	a := push.UniformResult(len(e.Call.Messages), end)
 	a.Reusable = true
-	r.step(Ended{e.Call, a})
+	r.step(CallEnded{e.Call, a})
 }
 
 func (r *Runner) notify(n Notify) {
 	r.Metrics.noticed(n.Outcome)
 	r.Log.Info().Str("ntf", n.ID).Str("dest", n.Dest).Str("outcome", n.Outcome).Float64("retry_in", n.RetryIn).
-		Float64("left", n.Left).Msg("notice")
-	r.Platform.Notify(n, r.Tell)
+		Float64("left", n.RemainingTTL).Msg("notice")
+	r.Platform.Notify(n, r.Post)
 }
 
 // write puts records into the ledger and tells whether they are there. While earlier ones are late it does not try.
--- a/intake/client.go
+++ b/intake/client.go
@@ -105,7 +105,7 @@
 	defer c.all.lock.Unlock()
 	if c.shut {
 		if len(b) > 0 {
-			c.all.invariants.Violated(invariant.ReadAfterClose, c.id, "%d bytes from %s", len(b), c.RemoteAddr())
+			c.all.invariants.Report(invariant.ReadAfterClose, c.id, "%d bytes from %s", len(b), c.RemoteAddr())
 		}
 		return 0
 	}
@@ -174,7 +174,7 @@
 	}
 	c.closed = true
 	if c.whole && c.why != clientLeft && (!c.answered || c.behind()) {
-		l.invariants.Violated(invariant.ClosedUnanswered, c.id, "%s", c.RemoteAddr())
+		l.invariants.Report(invariant.ClosedUnanswered, c.id, "%s", c.RemoteAddr())
 	}
 	drain := c.begun && !c.whole && !c.shut
 	if drain {
@@ -228,7 +228,7 @@
 	defer c.all.lock.Unlock()
 	c.id = id
 	if c.shut && !c.evicted {
-		c.all.invariants.Violated(invariant.ClosedUnanswered, id, "read whole on a connection that was shut: %s", c.why)
+		c.all.invariants.Report(invariant.ClosedUnanswered, id, "read whole on a connection that was shut: %s", c.why)
 		return false, true
 	}
 	if c.all.open[c] && !c.served && !c.whole {
--- a/intake/closing_test.go
+++ b/intake/closing_test.go
@@ -36,7 +36,7 @@
 	r := &rig{told: make(chan string, 99)}
 	r.Server = NewServer(func() float64 { return 1000 }, func(string) (float64, bool) { return 9, true }, func(e gateway.Event) {
 		r.told <- e.(gateway.Arrived).Message.ID
-		e.(gateway.Arrived).Reply(gateway.Reply{Taken: true})
+		e.(gateway.Arrived).Reply(gateway.Reply{Accepted: true})
 	}, 10, zerolog.Nop())
 	var err error
 	if r.Listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -284,7 +284,7 @@
 func pipelinedAreAnswered(t *testing.T) {
 	r := newRig(t)
 	r.serve()
-	r.Server.Leave()
+	r.Server.DisableKeepAlives()
 	conn := r.dial(t)
 	text := strings.ReplaceAll(order, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=1\r\ni\r\n0\r\nX: 1\r\n\r\n")
 	fmt.Fprint(conn, order+text+"\r\n"+order)
@@ -303,7 +303,7 @@
 		"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"} {
 		r := newRig(t)
 		counts := &invariant.Counters{}
-		r.Count(counts, nil)
+		r.SetMetrics(counts, nil)
 		r.serve()
 		conn := r.dial(t)
 		fmt.Fprint(conn, order+bad+order+order)
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -54,8 +54,8 @@
 	return s
 }
 
-// Count lets what must not happen be counted, and the counts be read at /_metrics, with what more is written there.
-func (s *Server) Count(invariants *invariant.Counters, more func(io.Writer)) {
+// SetMetrics lets what must not happen be counted, and the counts be read at /_metrics, with what more is written there.
+func (s *Server) SetMetrics(invariants *invariant.Counters, more func(io.Writer)) {
 	s.clients.invariants, s.metrics = invariants, more
 }
 
@@ -67,8 +67,8 @@
 	return s.http.Serve(s.clients)
 }
 
-// Leave closes each client's connection with its next answer, so that the client goes elsewhere.
-func (s *Server) Leave() { s.leave.Store(true) }
+// DisableKeepAlives closes each client's connection with its next answer, so that the client goes elsewhere.
+func (s *Server) DisableKeepAlives() { s.leave.Store(true) }
 
 // Close takes no new connections and no new requests; those of which bytes were taken are answered, and the answers have
 // left when it returns. The library's own Shutdown is not asked: it drops a request that comes as it closes a resting
@@ -134,9 +134,9 @@
 	reply := make(chan gateway.Reply, 1)
 	s.tell(gateway.Arrived{Message: m, Reply: func(r gateway.Reply) { reply <- r }})
 	r := <-reply
-	s.trace.Debug().Str("ntf", m.ID).Stringer("client", ctx.RemoteAddr()).Bool("taken", r.Taken).Str("why", string(r.Why)).
+	s.trace.Debug().Str("ntf", m.ID).Stringer("client", ctx.RemoteAddr()).Bool("taken", r.Accepted).Str("why", string(r.Reason)).
 		Float64("after", time.Since(ctx.Time()).Seconds()).Msg("request answered")
-	if r.Taken {
+	if r.Accepted {
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
 		return
 	}
@@ -152,7 +152,7 @@
 	if twoLengths(h.RawHeaders()) {
 		return nil, errors.New("both Content-Length and Transfer-Encoding: where the request ends is not certain")
 	}
-	m := &message.Message{Mark: string(h.Peek("Idempotency-Key")), Body: append([]byte(nil), ctx.PostBody()...)}
+	m := &message.Message{IdempotencyKey: string(h.Peek("Idempotency-Key")), Body: append([]byte(nil), ctx.PostBody()...)}
 	m.ID, m.Topic, m.Tenant = string(h.Peek("X-Call-Id")), string(h.Peek("X-Call-Class")), string(h.Peek("X-Caller"))
 	m.Key = string(h.Cookie("about"))
 	if m.ID == "" {
@@ -174,7 +174,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m.Until = s.clock() + min(left, ttl) // no client's slip holds a message for days
+	m.ExpiresAt = s.clock() + min(left, ttl) // no client's slip holds a message for days
 	return m, nil
 }
 
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -36,7 +36,7 @@
 	ttl := func(topic string) (float64, bool) { return 9, topic == "order" }
 	s := intake.NewServer(func() float64 { return 1000 }, ttl, func(e gateway.Event) {
 		m := e.(gateway.Arrived).Message
-		fmt.Printf("%s %s %s %s %q until %g: %q %q\n", m.ID, m.Topic, m.Tenant, m.Dest, m.Key, m.Until, m.Mark, m.Body)
+		fmt.Printf("%s %s %s %s %q until %g: %q %q\n", m.ID, m.Topic, m.Tenant, m.Dest, m.Key, m.ExpiresAt, m.IdempotencyKey, m.Body)
 		e.(gateway.Arrived).Reply(reply)
 	}, conns, zerolog.Nop())
 	go func() { _ = s.Serve(ln) }()
@@ -62,13 +62,13 @@
 
 // Messages that are taken on and refused; one with neither key nor mark; a server about to leave.
 func Example_messages() {
-	_, addr := start(gateway.Reply{Taken: true})
+	_, addr := start(gateway.Reply{Accepted: true})
 	ask(addr, good)
 	ask(addr, strings.NewReplacer("Cookie: about=7f3a\n", "", "Idempotency-Key: 5c0f\n", "", "480m", "250000u").Replace(good))
 	ask(addr, strings.Replace(good, "480m", "99999999m", 1))
 	ask(addr, "GET /_health HTTP/1.1\nHost: a\n\n")
 	s, addr := start(gateway.Reply{RetryIn: 0.25})
-	s.Leave()
+	s.DisableKeepAlives()
 	ask(addr, good)
 	// Output:
 	// a1 order acme 7 "7f3a" until 1000.48: "5c0f" "hello"
@@ -84,7 +84,7 @@
 
 // Bad requests are answered with 400, and never reach the gateway.
 func Example_bad() {
-	_, addr := start(gateway.Reply{Taken: true})
+	_, addr := start(gateway.Reply{Accepted: true})
 	for _, change := range [][2]string{{"X-Call-Id: a1\n", ""}, {"order", "letter"}, {"dest=7", "dest=x"},
 		{"dest=7", "to=7"}, {"480m", "480"}, {"480m", "-1m"}, {"480m", "NaNm"}, {"X-Budget: 480m\n", ""},
 		{"Length: 5", "Length: 65537"}, {"POST", "GET"}, {"/api", "/other"}, {"HTTP/1.1", "what"},
@@ -111,7 +111,7 @@
 
 // A request that says in two ways where it ends goes no further, and neither does one hidden in its body.
 func Example_hidden() {
-	_, addr := start(gateway.Reply{Taken: true})
+	_, addr := start(gateway.Reply{Accepted: true})
 	ask(addr, strings.NewReplacer("Length: 5", "Length: 5\nTransfer-Encoding: chunked", "hello", "0\n\n"+good).Replace(good))
 	// Output:
 	// 400  true
@@ -122,7 +122,7 @@
 // what this is about then. Before, the test left that to chance, and another went in one of some hundred runs.
 func Example_silent() {
 	read := make(chan bool, 64)
-	_, addr := startOn(watched{listen(), read}, few, gateway.Reply{Taken: true})
+	_, addr := startOn(watched{listen(), read}, few, gateway.Reply{Accepted: true})
 	idle, _ := net.Dial("tcp", addr)
 	fmt.Fprint(idle, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
 	_, _ = http.ReadResponse(bufio.NewReader(idle), nil)
@@ -200,7 +200,7 @@
 
 // Clients that ask once and stay: beyond a third of the connections they are closed with their answer.
 func Example_crowd() {
-	_, addr := startOn(listen(), few, gateway.Reply{Taken: true})
+	_, addr := startOn(listen(), few, gateway.Reply{Accepted: true})
 	for range 5 {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -16,20 +16,20 @@
 
 // The invariants.
 const (
-	SentAfterFinal   Name = "sent_after_final_answer"
-	SentTwice        Name = "sent_while_out"
-	SentOutside      Name = "sent_outside_window"
-	SentToLeaving    Name = "sent_to_leaving_endpoint"
-	SentDuringWait   Name = "sent_during_told_wait"
-	SentOverRecovery Name = "sent_over_recovery_budget"
-	SentOutOfOrder   Name = "sent_out_of_key_order"
-	SentBeforeList   Name = "sent_before_first_list"
-	ClosedUnanswered Name = "closed_with_request_unanswered"
-	ReadAfterClose   Name = "read_after_close"
+	SentAfterFinal    Name = "sent_after_final_answer"
+	SentWhileInFlight Name = "sent_while_out"
+	SentOutsideWindow Name = "sent_outside_window"
+	SentToLeaving     Name = "sent_to_leaving_endpoint"
+	SentDuringWait    Name = "sent_during_told_wait"
+	SentOverRecovery  Name = "sent_over_recovery_budget"
+	SentOutOfOrder    Name = "sent_out_of_key_order"
+	SentBeforeList    Name = "sent_before_first_list"
+	ClosedUnanswered  Name = "closed_with_request_unanswered"
+	ReadAfterClose    Name = "read_after_close"
 )
 
 // All are the invariants in the order of the metrics.
-var All = []Name{SentAfterFinal, SentTwice, SentOutside, SentToLeaving, SentDuringWait, SentOverRecovery, SentOutOfOrder,
+var All = []Name{SentAfterFinal, SentWhileInFlight, SentOutsideWindow, SentToLeaving, SentDuringWait, SentOverRecovery, SentOutOfOrder,
 	SentBeforeList, ClosedUnanswered, ReadAfterClose}
 
 // Counters counts violations. The zero value counts and logs nothing but its counts; nil does nothing at all.
@@ -41,8 +41,8 @@
 	counts map[Name]int
 }
 
-// Violated counts a violation by a notification, "" for none, and logs it.
-func (c *Counters) Violated(name Name, id, format string, args ...any) {
+// Report counts a violation by a notification, "" for none, and logs it.
+func (c *Counters) Report(name Name, id, format string, args ...any) {
 	if c == nil {
 		return
 	}
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -10,55 +10,70 @@
 	a := Target{Throttle: "A/", Endpoint: "A1"}
 	for _, c := range []struct {
 		name Name
-		do   func(s *Sends)
+		do   func(s *SendChecker)
 	}{
-		{"", func(s *Sends) {
-			s.Taken("m", Rules{Until: 20, Window: 3, Key: "k"})
-			s.Taken("n", Rules{Until: 20, Key: "k"})
-			s.Waits("A/", 1)
-			s.Listed(0, "A2", false)
-			s.Sent(1, "m", a)
-			s.Ended(1.1, 1, "m", true, true)
-			s.Sent(3.9, "m", a)
-			s.Ended(3.95, 3.9, "m", true, false)
-			s.Final("m")
-			s.Sent(4, "n", a)
-			s.Recovering(4, "n", "A/", 3, 1.5)
+		{"", func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 20, Window: 3, Key: "k"})
+			s.Accepted("n", Rules{Deadline: 20, Key: "k"})
+			s.WaitTold("A/", 1)
+			s.EndpointListed(0, "A2", false)
+			s.CheckSend(1, "m", a)
+			s.PushEnded(1.1, 1, "m", true, true)
+			s.CheckSend(3.9, "m", a)
+			s.PushEnded(3.95, 3.9, "m", true, false)
+			s.Finished("m")
+			s.CheckSend(4, "n", a)
+			s.CheckRecovery(4, "n", "A/", 3, 1.5)
 		}},
-		{SentAfterFinal, func(s *Sends) { s.Taken("m", Rules{Until: 9}); s.Final("m"); s.Sent(1, "m", a) }},
-		{SentAfterFinal, func(s *Sends) { s.Sent(1, "m", a) }},
-		{SentTwice, func(s *Sends) { s.Taken("m", Rules{Until: 9}); s.Sent(1, "m", a); s.Sent(2, "m", a) }},
-		{SentOutside, func(s *Sends) { s.Taken("m", Rules{Until: 9}); s.Sent(9.1, "m", a) }},
-		{SentOutside, func(s *Sends) { s.Taken("m", Rules{Until: 9, Window: 3, RanAt: 1}); s.Sent(4.1, "m", a) }},
-		{SentOutside, func(s *Sends) {
-			s.Taken("m", Rules{Until: 9, Once: true})
-			s.Sent(1, "m", a)
-			s.Ended(2, 1, "m", true, true)
-			s.Sent(3, "m", a)
+		{SentAfterFinal, func(s *SendChecker) { s.Accepted("m", Rules{Deadline: 9}); s.Finished("m"); s.CheckSend(1, "m", a) }},
+		{SentAfterFinal, func(s *SendChecker) { s.CheckSend(1, "m", a) }},
+		{SentWhileInFlight, func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 9})
+			s.CheckSend(1, "m", a)
+			s.CheckSend(2, "m", a)
 		}},
-		{SentToLeaving, func(s *Sends) { s.Taken("m", Rules{Until: 9}); s.Listed(1, "A1", false); s.Sent(1.6, "m", a) }},
-		{SentDuringWait, func(s *Sends) { s.Taken("m", Rules{Until: 9}); s.Waits("A/", 2); s.Sent(1.9, "m", a) }},
-		{SentOverRecovery, func(s *Sends) {
+		{SentOutsideWindow, func(s *SendChecker) { s.Accepted("m", Rules{Deadline: 9}); s.CheckSend(9.1, "m", a) }},
+		{SentOutsideWindow, func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 9, Window: 3, MayHaveRunSince: 1})
+			s.CheckSend(4.1, "m", a)
+		}},
+		{SentOutsideWindow, func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 9, OnceOnly: true})
+			s.CheckSend(1, "m", a)
+			s.PushEnded(2, 1, "m", true, true)
+			s.CheckSend(3, "m", a)
+		}},
+		{SentToLeaving, func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 9})
+			s.EndpointListed(1, "A1", false)
+			s.CheckSend(1.6, "m", a)
+		}},
+		{SentDuringWait, func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 9})
+			s.WaitTold("A/", 2)
+			s.CheckSend(1.9, "m", a)
+		}},
+		{SentOverRecovery, func(s *SendChecker) {
 			for range 12 { // 3 + 3 sqrt(3) + 3 is 11.2
-				s.Recovering(1, "m", "A/", 3, 1.5)
+				s.CheckRecovery(1, "m", "A/", 3, 1.5)
 			}
 		}},
-		{SentOutOfOrder, func(s *Sends) {
-			s.Taken("m", Rules{Until: 9, Key: "k"})
-			s.Taken("n", Rules{Until: 9, Key: "k"})
-			s.Sent(1, "n", a)
+		{SentOutOfOrder, func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 9, Key: "k"})
+			s.Accepted("n", Rules{Deadline: 9, Key: "k"})
+			s.CheckSend(1, "n", a)
 		}},
-		{SentOutOfOrder, func(s *Sends) {
-			s.Taken("m", Rules{Until: 9, Key: "k"})
-			s.Taken("n", Rules{Until: 9, Key: "k"})
-			s.Sent(1, "m", a)
-			s.Ended(2, 1, "m", true, true)
-			s.Final("m")
-			s.Sent(2.4, "n", a)
+		{SentOutOfOrder, func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 9, Key: "k"})
+			s.Accepted("n", Rules{Deadline: 9, Key: "k"})
+			s.CheckSend(1, "m", a)
+			s.PushEnded(2, 1, "m", true, true)
+			s.Finished("m")
+			s.CheckSend(2.4, "n", a)
 		}},
 	} {
 		counters := &Counters{}
-		s := NewSends(counters, Margins{Grace: 0.5, Rest: 0.5}, 0)
+		s := NewSendChecker(counters, Margins{DrainGrace: 0.5, KeyHold: 0.5}, 0)
 		c.do(s)
 		for _, name := range All {
 			if n := counters.Count(name); (n > 0) != (name == c.name) {
@@ -67,9 +82,9 @@
 		}
 	}
 	counters := &Counters{}
-	s := NewSends(counters, Margins{}, 5)
-	s.Taken("m", Rules{Until: 9})
-	s.Sent(4, "m", a)
+	s := NewSendChecker(counters, Margins{}, 5)
+	s.Accepted("m", Rules{Deadline: 9})
+	s.CheckSend(4, "m", a)
 	var text strings.Builder
 	if err := counters.Write(&text); err != nil || !strings.Contains(text.String(), `{invariant="sent_before_first_list"} 1`) {
 		t.Errorf("%v: %s", err, text.String())
@@ -79,28 +94,28 @@
 // A strict counter panics, and tells which invariant.
 func TestStrict(t *testing.T) {
 	defer func() {
-		if text, _ := recover().(string); !strings.Contains(text, string(SentTwice)) {
+		if text, _ := recover().(string); !strings.Contains(text, string(SentWhileInFlight)) {
 			t.Errorf("recovered %q", text)
 		}
 	}()
-	(&Counters{Strict: true}).Violated(SentTwice, "m", "to %s", "A1")
+	(&Counters{Strict: true}).Report(SentWhileInFlight, "m", "to %s", "A1")
 }
 
 // Nobody needs to count: nil counters and checks do nothing.
 func TestNil(t *testing.T) {
 	var c *Counters
-	c.Violated(SentTwice, "m", "")
-	var s *Sends
-	s.Taken("m", Rules{})
-	s.Sent(1, "m", Target{})
-	s.Ended(1, 1, "m", true, true)
-	s.Final("m")
-	s.Waits("A/", 2)
-	s.Heard()
-	s.Listed(1, "A1", true)
-	s.Recovering(1, "m", "A/", 1, 1)
-	s.Forget(1, func(string) bool { return true })
-	if c.Count(SentTwice) != 0 {
+	c.Report(SentWhileInFlight, "m", "")
+	var s *SendChecker
+	s.Accepted("m", Rules{})
+	s.CheckSend(1, "m", Target{})
+	s.PushEnded(1, 1, "m", true, true)
+	s.Finished("m")
+	s.WaitTold("A/", 2)
+	s.ListWaitEnded()
+	s.EndpointListed(1, "A1", true)
+	s.CheckRecovery(1, "m", "A/", 1, 1)
+	s.Prune(1, func(string) bool { return true })
+	if c.Count(SentWhileInFlight) != 0 {
 		t.Error("counted")
 	}
 }
