--- a/invariant/sends.go
+++ b/invariant/sends.go
@@ -4,11 +4,11 @@
 
 // Rules are what a notification allows.
 type Rules struct {
-	Until  float64 // its TTL ends
-	Window float64 // how long a repeat is known after the first push that may have run; 0 for no bound
-	Once   bool    // it may not be pushed again once a push may have run
-	Key    string  // notifications of one key go one at a time, in the order taken; "" for none
-	RanAt  float64 // when the first push that may have run was sent, in the process before; 0 for none
+	Deadline        float64 // its TTL ends
+	Window          float64 // how long a repeat is known after the first push that may have run; 0 for no bound
+	OnceOnly        bool    // it may not be pushed again once a push may have run
+	Key             string  // notifications of one key go one at a time, in the order taken; "" for none
+	MayHaveRunSince float64 // when the first push that may have run was sent, in the process before; 0 for none
 }
 
 // Target is where a call goes.
@@ -19,12 +19,12 @@
 
 // Margins are the allowances within which a dispatcher may be late, in seconds.
 type Margins struct {
-	Grace float64 // a call may still go to an endpoint so long after it was told to be leaving
-	Rest  float64 // a key rests after a push that may still run
+	DrainGrace float64 // a call may still go to an endpoint so long after it was told to be leaving
+	KeyHold    float64 // a key rests after a push that may still run
 }
 
-// Sends checks each call before it is sent. It is one goroutine's. Times are seconds of the dispatcher's clock.
-type Sends struct {
+// SendChecker checks each call before it is sent. It is one goroutine's. Times are seconds of the dispatcher's clock.
+type SendChecker struct {
 	counters *Counters
 	margins  Margins
 	open     map[string]*open
@@ -50,15 +50,15 @@
 	out bool
 }
 
-// NewSends returns the checks of a process that may send from a moment on, or once it has heard a list.
-func NewSends(counters *Counters, margins Margins, listBy float64) *Sends {
-	return &Sends{counters: counters, margins: margins, listBy: listBy, open: map[string]*open{}, final: map[string]float64{},
+// NewSendChecker returns the checks of a process that may send from a moment on, or once it has heard a list.
+func NewSendChecker(counters *Counters, margins Margins, listBy float64) *SendChecker {
+	return &SendChecker{counters: counters, margins: margins, listBy: listBy, open: map[string]*open{}, final: map[string]float64{},
 		keys: map[string][]string{}, rests: map[string]rest{}, waits: map[string]float64{}, leaving: map[string]float64{},
 		starts: map[string][]float64{}}
 }
 
-// Taken tells that a notification was taken on.
-func (s *Sends) Taken(id string, r Rules) {
+// Accepted tells that a notification was taken on.
+func (s *SendChecker) Accepted(id string, r Rules) {
 	if s == nil {
 		return
 	}
@@ -69,19 +69,19 @@
 	}
 }
 
-// Final tells that a notification has its final answer, or was never taken on.
-func (s *Sends) Final(id string) {
+// Finished tells that a notification has its final answer, or was never taken on.
+func (s *SendChecker) Finished(id string) {
 	if s == nil || s.open[id] == nil {
 		return
 	}
-	s.final[id] = s.open[id].Until
+	s.final[id] = s.open[id].Deadline
 	if key := s.open[id].Key; key != "" {
 		s.leaveKey(key, id)
 	}
 	delete(s.open, id)
 }
 
-func (s *Sends) leaveKey(key, id string) {
+func (s *SendChecker) leaveKey(key, id string) {
 	list := s.keys[key][:0]
 	for _, x := range s.keys[key] {
 		if x != id {
@@ -93,22 +93,22 @@
 	}
 }
 
-// Waits tells that an endpoint told a wait.
-func (s *Sends) Waits(throttle string, until float64) {
+// WaitTold tells that an endpoint told a wait.
+func (s *SendChecker) WaitTold(throttle string, until float64) {
 	if s != nil {
 		s.waits[throttle] = max(s.waits[throttle], until)
 	}
 }
 
-// Heard tells that discovery has said something, or was asked in vain.
-func (s *Sends) Heard() {
+// ListWaitEnded tells that discovery has said something, or was asked in vain.
+func (s *SendChecker) ListWaitEnded() {
 	if s != nil {
 		s.listed = true
 	}
 }
 
-// Listed tells that an endpoint was listed as ready or as leaving.
-func (s *Sends) Listed(now float64, endpoint string, ready bool) {
+// EndpointListed tells that an endpoint was listed as ready or as leaving.
+func (s *SendChecker) EndpointListed(now float64, endpoint string, ready bool) {
 	if s == nil {
 		return
 	}
@@ -119,37 +119,37 @@
 	}
 }
 
-// Sent checks a notification that is about to be sent.
-func (s *Sends) Sent(now float64, id string, to Target) {
+// CheckSend checks a notification that is about to be sent.
+func (s *SendChecker) CheckSend(now float64, id string, to Target) {
 	if s == nil {
 		return
 	}
 	if until, over := s.final[id]; over {
-		s.counters.Violated(SentAfterFinal, id, "to %s; its TTL ends at %.3f", to.Endpoint, until)
+		s.counters.Report(SentAfterFinal, id, "to %s; its TTL ends at %.3f", to.Endpoint, until)
 		return
 	}
 	o := s.open[id]
 	if o == nil {
-		s.counters.Violated(SentAfterFinal, id, "to %s; it is not in hand", to.Endpoint)
+		s.counters.Report(SentAfterFinal, id, "to %s; it is not in hand", to.Endpoint)
 		return
 	}
 	if o.out {
-		s.counters.Violated(SentTwice, id, "to %s; another push of it is out", to.Endpoint)
+		s.counters.Report(SentWhileInFlight, id, "to %s; another push of it is out", to.Endpoint)
 	}
-	if now > o.Until {
-		s.counters.Violated(SentOutside, id, "to %s at %.3f; its TTL ended at %.3f", to.Endpoint, now, o.Until)
+	if now > o.Deadline {
+		s.counters.Report(SentOutsideWindow, id, "to %s at %.3f; its TTL ended at %.3f", to.Endpoint, now, o.Deadline)
 	}
-	if o.RanAt > 0 && (o.Once || o.Window > 0 && now > o.RanAt+o.Window) {
-		s.counters.Violated(SentOutside, id, "to %s at %.3f; a push of %.3f may have run", to.Endpoint, now, o.RanAt)
+	if o.MayHaveRunSince > 0 && (o.OnceOnly || o.Window > 0 && now > o.MayHaveRunSince+o.Window) {
+		s.counters.Report(SentOutsideWindow, id, "to %s at %.3f; a push of %.3f may have run", to.Endpoint, now, o.MayHaveRunSince)
 	}
 	if until := s.waits[to.Throttle]; now < until {
-		s.counters.Violated(SentDuringWait, id, "to %s at %.3f; told to wait until %.3f", to.Endpoint, now, until)
+		s.counters.Report(SentDuringWait, id, "to %s at %.3f; told to wait until %.3f", to.Endpoint, now, until)
 	}
-	if since, leaving := s.leaving[to.Endpoint]; leaving && now > since+s.margins.Grace {
-		s.counters.Violated(SentToLeaving, id, "to %s at %.3f; leaving since %.3f", to.Endpoint, now, since)
+	if since, leaving := s.leaving[to.Endpoint]; leaving && now > since+s.margins.DrainGrace {
+		s.counters.Report(SentToLeaving, id, "to %s at %.3f; leaving since %.3f", to.Endpoint, now, since)
 	}
 	if !s.listed && now < s.listBy {
-		s.counters.Violated(SentBeforeList, id, "to %s at %.3f; the list is waited for until %.3f", to.Endpoint, now, s.listBy)
+		s.counters.Report(SentBeforeList, id, "to %s at %.3f; the list is waited for until %.3f", to.Endpoint, now, s.listBy)
 	}
 	if o.Key != "" {
 		s.inTurn(now, id, o.Key, to)
@@ -158,32 +158,32 @@
 }
 
 // inTurn checks that a key is a notification's own.
-func (s *Sends) inTurn(now float64, id, key string, to Target) {
+func (s *SendChecker) inTurn(now float64, id, key string, to Target) {
 	first, r := s.keys[key][0], s.rests[key]
 	if first != id || r.id != id && now < r.until {
-		s.counters.Violated(SentOutOfOrder, id, "of key %q to %s at %.3f; first is %q, the key rests until %.3f behind %q", key,
+		s.counters.Report(SentOutOfOrder, id, "of key %q to %s at %.3f; first is %q, the key rests until %.3f behind %q", key,
 			to.Endpoint, now, first, r.until, r.id)
 	}
 }
 
-// Ended tells that a push ended: whether it may have run, and whether it may run still.
-func (s *Sends) Ended(now, sentAt float64, id string, mayHaveRun, mayStillRun bool) {
+// PushEnded tells that a push ended: whether it may have run, and whether it may run still.
+func (s *SendChecker) PushEnded(now, sentAt float64, id string, mayHaveRun, mayStillRun bool) {
 	if s == nil || s.open[id] == nil {
 		return
 	}
 	o := s.open[id]
 	o.out = false
-	if mayHaveRun && o.RanAt == 0 {
-		o.RanAt = sentAt
+	if mayHaveRun && o.MayHaveRunSince == 0 {
+		o.MayHaveRunSince = sentAt
 	}
 	if mayStillRun && o.Key != "" {
-		s.rests[o.Key] = rest{id, now + s.margins.Rest}
+		s.rests[o.Key] = rest{id, now + s.margins.KeyHold}
 	}
 }
 
-// Recovering checks a call to a destination, or a route, that comes back from an outage: in the span it may get so many
+// CheckRecovery checks a call to a destination, or a route, that comes back from an outage: in the span it may get so many
 // calls as the settings allow it, with some for chance, and this dispatcher alone may not send more.
-func (s *Sends) Recovering(now float64, id, throttle string, calls, span float64) {
+func (s *SendChecker) CheckRecovery(now float64, id, throttle string, calls, span float64) {
 	if s == nil {
 		return
 	}
@@ -194,7 +194,7 @@
 	list = append(list, now)
 	s.starts[throttle] = list
 	if most := RecoveryBudget(calls); float64(len(list)) > most {
-		s.counters.Violated(SentOverRecovery, id, "call %d in %.1f s to %s, of %.1f", len(list), span, throttle, most)
+		s.counters.Report(SentOverRecovery, id, "call %d in %.1f s to %s, of %.1f", len(list), span, throttle, most)
 	}
 }
 
@@ -209,8 +209,8 @@
 	return calls + 2*math.Sqrt(calls) + 2
 }
 
-// Forget lets go of final answers whose TTLs are over, waits that are, and endpoints that nobody knows any more.
-func (s *Sends) Forget(now float64, known func(endpoint string) bool) {
+// Prune lets go of final answers whose TTLs are over, waits that are, and endpoints that nobody knows any more.
+func (s *SendChecker) Prune(now float64, known func(endpoint string) bool) {
 	if s == nil {
 		return
 	}
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -32,7 +32,7 @@
 	var err error
 	switch role {
 	case "run":
-		err = dispatcher.Run(os.Getenv, dispatcher.Logs{To: os.Stderr, Level: zerolog.InfoLevel})
+		err = dispatcher.Run(os.Getenv, dispatcher.LogOptions{Output: os.Stderr, Level: zerolog.InfoLevel})
 	case "planted":
 		err = planted.Run(os.Getenv, rule)
 	default:
--- a/lab/modelcheck/process.go
+++ b/lab/modelcheck/process.go
@@ -98,7 +98,7 @@
 // Create makes a file.
 func (f folder) Create(name string) (disk.File, error) {
 	if !f.p.alive() {
-		return nil, faulty.ErrCrash
+		return nil, faulty.ErrCrashed
 	}
 	x, err := f.Folder.Create(name)
 	return file{x, f.p}, err
@@ -113,7 +113,7 @@
 // Remove removes a file.
 func (f folder) Remove(name string) error {
 	if !f.p.operation() {
-		return faulty.ErrCrash
+		return faulty.ErrCrashed
 	}
 	return f.Folder.Remove(name)
 }
@@ -125,7 +125,7 @@
 		if was && f.p.plan.Keep > 0 {
 			_, _ = f.File.WriteAt(b[:min(f.p.plan.Keep, len(b))], at)
 		}
-		return 0, faulty.ErrCrash
+		return 0, faulty.ErrCrashed
 	}
 	if since := time.Since(f.p.begun).Seconds(); since >= f.p.plan.DiskFrom && since < f.p.plan.DiskFrom+f.p.plan.DiskFor {
 		n, _ := f.File.WriteAt(b[:min(f.p.partOfFailing(), len(b)-1)], at)
@@ -259,7 +259,7 @@
 	go func() {
 		time.Sleep(5 * time.Millisecond)
 		if p.alive() {
-			tell(gateway.Noticed{ID: n.ID})
+			tell(gateway.NoticeAnswered{ID: n.ID})
 		}
 	}()
 }
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -42,10 +42,10 @@
 }
 
 var topics = map[string]decide.Topic{
-	"once":  {Repeat: decide.OnceOnly, Group: "all", Ordered: true},
-	"zoned": {Repeat: decide.Collapsible, Memory: Window, Group: "zone"},
-	"known": {Repeat: decide.Collapsible, Memory: Window, Group: "all", Ordered: true},
-	"free":  {Repeat: decide.Repeatable, Group: "all"},
+	"once":  {Repeat: decide.OnceOnly, DedupScope: "all", Ordered: true},
+	"zoned": {Repeat: decide.Collapsible, DedupWindow: Window, DedupScope: "zone"},
+	"known": {Repeat: decide.Collapsible, DedupWindow: Window, DedupScope: "all", Ordered: true},
+	"free":  {Repeat: decide.Repeatable, DedupScope: "all"},
 }
 
 // Topics are the names that a plan may have.
@@ -55,9 +55,9 @@
 func Run(plan Plan, fault Fault) (found []string, operations []int) {
 	topic := topics[plan.Topic]
 	w := &world{begun: time.Now(), folder: faulty.New(), fault: fault, counts: &invariant.Counters{Log: zerolog.Nop()},
-		judge: &judge{topic: topicRules{once: topic.Repeat == decide.OnceOnly, zone: topic.Group == "zone", ordered: topic.Ordered && !plan.Shared}}}
+		judge: &judge{topic: topicRules{once: topic.Repeat == decide.OnceOnly, zone: topic.DedupScope == "zone", ordered: topic.Ordered && !plan.Shared}}}
 	if topic.Repeat == decide.Collapsible {
-		w.judge.topic.window = topic.Memory
+		w.judge.topic.window = topic.DedupWindow
 	}
 	series := append(append([]Process{}, plan.Processes...), Process{Attempts: []Attempt{Serve}})
 	for i, p := range series {
@@ -117,9 +117,9 @@
 // end tells a process to end, as a planned stop does: no client comes any more, then no push starts, then it is over.
 func (w *world) end(p *process) {
 	const noPushAfter, overAfter = 0.5, 1.2
-	p.runner.Tell(gateway.Leaving{})
+	p.runner.Post(gateway.IntakeClosed{})
 	w.await(p, noPushAfter)
-	p.runner.Tell(gateway.Stopping{})
+	p.runner.Post(gateway.PushesStopped{})
 	w.await(p, overAfter)
 }
 
@@ -162,14 +162,14 @@
 	if shared {
 		batch[kind] = 10
 	}
-	module := decide.New(1, known, all, decide.Slots{Calls: 6, Held: 20, Batch: batch}, decide.Routes{},
-		decide.Returns{ColdFrom: 0.2, ColdSpan: 5, Multiple: 2, FallAfter: 1, Dispatchers: 1},
-		decide.Pushes{Most: 8, Settle: 0.1, Tick: tick, IdleClose: 5}, decide.Shares{}, false)
-	p.runner = &gateway.Runner{Gateway: gateway.New(module, known, book.Room, nil, batch, 1.5), Ledger: book, Platform: platform{p},
-		Clock: w.now, Tick: tick, Log: zerolog.Nop(), Events: make(chan gateway.Event, 1024), Dial: push.Dialer(p.dial)}
-	p.runner.Gateway.Check(invariant.NewSends(w.counts, invariant.Margins{Grace: 0.5, Rest: 0.1}, w.now()+0.5))
-	p.runner.Gateway.NumberCalls(book.LastCall())
-	p.runner.Gateway.Await(w.now() + 0.5)
+	module := decide.New(1, known, all, decide.Capacity{MaxCalls: 6, MaxHeld: 20, BatchSize: batch}, decide.Routes{},
+		decide.Recovery{InitialCapacity: 0.2, WarmUp: 5, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 1},
+		decide.PushPolicy{MaxPushes: 8, KeyCooldown: 0.1, Tick: tick, IdleTimeout: 5}, decide.TenantQuotas{}, false)
+	p.runner = &gateway.Runner{Gateway: gateway.New(module, known, book.HasRoom, nil, batch, 1.5), Ledger: book, Platform: platform{p},
+		Clock: w.now, Tick: tick, Log: zerolog.Nop(), Events: make(chan gateway.Event, 1024), Dialer: push.Dialer(p.dial)}
+	p.runner.Gateway.SetSendChecker(invariant.NewSendChecker(w.counts, invariant.Margins{DrainGrace: 0.5, KeyHold: 0.1}, w.now()+0.5))
+	p.runner.Gateway.AdvanceCallID(book.LastCallNumber())
+	p.runner.Gateway.AwaitFirstList(w.now() + 0.5)
 	r := p.runner
 	owed = w.plant(owed)
 	go func() {
@@ -181,14 +181,14 @@
 }
 
 // plant changes what a restart finds, as the fault has it.
-func (w *world) plant(owed []ledger.Owed) []ledger.Owed {
-	var list []ledger.Owed
+func (w *world) plant(owed []ledger.Pending) []ledger.Pending {
+	var list []ledger.Pending
 	for _, o := range owed {
 		switch {
 		case w.fault == ForgetBegan:
 			o.Message.RanAt = 0
-		case w.fault == LaterWindow && o.Message.RanAt > 0 && o.Last.At > 0:
-			o.Message.RanAt = o.Last.At
+		case w.fault == LaterWindow && o.Message.RanAt > 0 && o.LastCall.StartedAt > 0:
+			o.Message.RanAt = o.LastCall.StartedAt
 		case w.fault == LoseNotice && o.Notice != nil:
 			continue
 		}
@@ -226,28 +226,28 @@
 	r := p.runner
 	time.Sleep(seconds(wait))
 	if p.alive() {
-		r.Tell(gateway.Listed{Full: true, Endpoints: w.list(p.plan.List)})
+		r.Post(gateway.Listed{Full: true, Endpoints: w.list(p.plan.List)})
 	}
 }
 
 // tellWait lets the destination tell a wait.
 func (w *world) tellWait(p *process, addr string) {
 	if p.alive() {
-		p.runner.Tell(gateway.ToldLate{Endpoint: directory.Endpoint{ID: addr, Dest: dest, Kind: kind}, Wait: 0.3})
+		p.runner.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: addr, Dest: dest, Kind: kind}, Wait: 0.3})
 	}
 }
 
 // handIn hands a message in.
 func (w *world) handIn(p *process, plan Plan, id string) {
-	m := &message.Message{Until: w.now() + TTL, Body: []byte("body"), Mark: "mark-" + id}
+	m := &message.Message{ExpiresAt: w.now() + TTL, Body: []byte("body"), IdempotencyKey: "mark-" + id}
 	m.ID, m.Topic, m.Dest, m.Key = id, plan.Topic, dest, "key"
 	if plan.Shared {
 		m.Key = "key of " + id
 	}
-	w.judge.handed(id, m.Until)
-	p.runner.Tell(gateway.Arrived{Message: m, Reply: func(r gateway.Reply) {
+	w.judge.handed(id, m.ExpiresAt)
+	p.runner.Post(gateway.Arrived{Message: m, Reply: func(r gateway.Reply) {
 		if p.operation() {
-			w.judge.answered(id, r.Taken)
+			w.judge.answered(id, r.Accepted)
 		}
 	}})
 }
--- a/lab/soak/machine.go
+++ b/lab/soak/machine.go
@@ -26,7 +26,7 @@
 
 // Child runs a dispatcher on a machine that fails as the variables say. What fails, and when, follows from the seed, the
 // dispatcher's name and how often it was started.
-func Child(getenv func(string) string, logs dispatcher.Logs) error {
+func Child(getenv func(string) string, logs dispatcher.LogOptions) error {
 	start, err := countStart(filepath.Join(getenv(folderVariable), getenv("ROUTER_NAME")+".starts"))
 	if err != nil {
 		return err
@@ -37,8 +37,8 @@
 	}
 	number, _ := strconv.ParseUint(strings.TrimPrefix(getenv("ROUTER_NAME"), "d"), 10, 64)
 	m := newMachine(rand.New(rand.NewPCG(seed, number<<32|uint64(start))), getenv(stepVariable) != "no")
-	system := dispatcher.Machine(getenv)
-	system.Strict = true
+	system := dispatcher.HostSystem(getenv)
+	system.PanicOnViolation = true
 	return dispatcher.RunOn(m.faulty(system), logs)
 }
 
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -24,7 +24,7 @@
 	var err error
 	switch role {
 	case "child":
-		err = Child(os.Getenv, dispatcher.Logs{To: os.Stderr, Level: zerolog.InfoLevel})
+		err = Child(os.Getenv, dispatcher.LogOptions{Output: os.Stderr, Level: zerolog.InfoLevel})
 	case "planted":
 		err = planted.Run(os.Getenv, rule)
 	default:
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // openAt opens a ledger on the test's own disk.
-func openAt(b *testing.B, dir string, limit int) (*ledger.Ledger, []ledger.Owed) {
+func openAt(b *testing.B, dir string, limit int) (*ledger.Ledger, []ledger.Pending) {
 	folder, err := disk.OpenDir(dir)
 	if err != nil {
 		b.Fatal(err)
@@ -40,16 +40,16 @@
 		}
 		longest = max(longest, time.Since(begun))
 	}
-	moved := l.Moved()
+	moved := l.RewrittenBytes()
 	b.ResetTimer()
 	for i := range b.N {
 		id := fmt.Sprint("n", i)
 		write(taken(id, 200))
-		write(ledger.Record{Kind: ledger.Began, ID: id, At: 1001, To: "e1"})
-		write(ledger.Record{Kind: ledger.Over, ID: id})
+		write(ledger.Record{Kind: ledger.CallStarted, ID: id, StartedAt: 1001, Endpoint: "e1"})
+		write(ledger.Record{Kind: ledger.Completed, ID: id})
 	}
 	b.ReportMetric(float64(longest.Microseconds()), "us-longest")
-	b.ReportMetric(float64(l.Moved()-moved)/float64(b.N), "B-anew/op")
+	b.ReportMetric(float64(l.RewrittenBytes()-moved)/float64(b.N), "B-anew/op")
 }
 
 // A start with so many owed.
@@ -66,12 +66,12 @@
 			if err := l.Close(); err != nil {
 				b.Fatal(err)
 			}
-			folder, err := disk.ReadDir(dir)
+			folder, err := disk.OpenDirReadOnly(dir)
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				l, owed, _, err := ledger.Open(folder, ledger.Options{Limit: limit, Read: true})
+				l, owed, _, err := ledger.Open(folder, ledger.Options{Limit: limit, ReadOnly: true})
 				if err != nil || len(owed) != n {
 					b.Fatal(len(owed), err)
 				}
--- a/ledger/compact.go
+++ b/ledger/compact.go
@@ -23,12 +23,12 @@
 	if takes {
 		free = reservedFiles
 	}
-	for last := l.log.Newest(); l.log.Used() > 1 && l.log.Oldest() <= last && l.worthwhile(); {
+	for last := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() <= last && l.worthwhile(); {
 		did, err := l.step(max(budget, leastMoved))
 		if err != nil {
 			return fmt.Errorf("ledger: %w", err)
 		}
-		if budget -= did; budget <= 0 && l.log.Free() >= free {
+		if budget -= did; budget <= 0 && l.log.FreeFiles() >= free {
 			break
 		}
 	}
@@ -41,7 +41,7 @@
 // reserve tells whether enough files are free, after making them where that can be. On a disk without room it tries
 // only now and then.
 func (l *Ledger) reserve() bool {
-	if l.log.Free() >= reservedFiles {
+	if l.log.FreeFiles() >= reservedFiles {
 		l.tight = 0
 		return true
 	}
@@ -63,15 +63,15 @@
 // or no more files can be had.
 func (l *Ledger) worthwhile() bool {
 	const beside = 2 // segments: the newest, and one that is being emptied
-	used := (l.log.Used() - beside) * l.room
-	return used > worthMovingAt*l.live || l.log.Free() < reservedFiles
+	used := (l.log.UsedFiles() - beside) * l.room
+	return used > worthMovingAt*l.live || l.log.FreeFiles() < reservedFiles
 }
 
 // step writes again what is owed in the oldest segment, up to so many bytes, and gives it back once nothing is. It tells
 // the bytes it wrote, or looked at.
 func (l *Ledger) step(budget int) (int, error) {
 	const look = 16 // what passing over one that is over counts for
-	oldest, did := l.log.Oldest(), 0
+	oldest, did := l.log.OldestSegment(), 0
 	list := l.members[oldest]
 	for ; l.cursor < len(list); l.cursor++ {
 		x := list[l.cursor]
@@ -89,30 +89,30 @@
 	}
 	delete(l.members, oldest)
 	l.cursor = 0
-	return did + look, l.log.Release()
+	return did + look, l.log.ReleaseOldest()
 }
 
 // rewrite writes all that is needed of a notification into the newest segment, as one record: a part of it would make a push
 // that may have run one that never did.
-func (l *Ledger) rewrite(x *Owed) error {
-	b := encode(nil, Record{Kind: Group, ID: x.Message.ID, Parts: x.records()})
+func (l *Ledger) rewrite(x *Pending) error {
+	b := encode(nil, Record{Kind: Batch, ID: x.Message.ID, Parts: x.records()})
 	segment, err := l.log.Append(b)
 	if err != nil {
 		return err
 	}
 	x.segment = segment
 	l.members[segment] = append(l.members[segment], x)
-	l.moved += len(b) + seglog.Overhead
+	l.moved += len(b) + seglog.RecordOverhead
 	return nil
 }
 
 // Compact writes all that is owed again, gives the room of the rest back to the disk, and keeps the reserve.
 func (l *Ledger) Compact() error {
-	for last := l.log.Newest(); l.log.Used() > 1 && l.log.Oldest() < last; {
+	for last := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() < last; {
 		if _, err := l.step(largestSegment); err != nil {
 			return fmt.Errorf("ledger: %w", err)
 		}
 	}
-	l.log.Trim(reservedFiles)
+	l.log.TrimFree(reservedFiles)
 	return nil
 }
--- a/ledger/crash_test.go
+++ b/ledger/crash_test.go
@@ -42,10 +42,10 @@
 	ending ledger.Record // the end of a call that was written last
 }
 
-func openBook(f *faulty.Folder, b *book) (*ledger.Report, []ledger.Owed, error) {
+func openBook(f *faulty.Folder, b *book) (*ledger.Report, []ledger.Pending, error) {
 	l, owed, report, err := ledger.Open(f, ledger.Options{Limit: small})
 	if b.l = l; l != nil {
-		b.call = l.LastCall()
+		b.call = l.LastCallNumber()
 	}
 	return &report, owed, err
 }
@@ -57,7 +57,7 @@
 	switch {
 	case err == nil:
 		note(k)
-	case errors.Is(err, faulty.ErrCrash):
+	case errors.Is(err, faulty.ErrCrashed):
 		k.unsure = true
 	}
 	return err
@@ -77,7 +77,7 @@
 		if b.chance.IntN(8) == 0 {
 			body = 2000 + b.chance.IntN(4000)
 		}
-		if !b.l.Room(body) {
+		if !b.l.HasRoom(body) {
 			return nil
 		}
 		b.know[id] = &known{order: b.next}
@@ -85,21 +85,21 @@
 		if err == nil {
 			b.ids = append(b.ids, id)
 		}
-		b.know[id].maybe = !b.know[id].taken && errors.Is(err, faulty.ErrCrash)
+		b.know[id].maybe = !b.know[id].taken && errors.Is(err, faulty.ErrCrashed)
 		return err
 	case what < 6:
 		if k := b.know[id]; k.out > 0 {
 			return b.do(id, func(k *known) { k.end(b.ending) }, b.endOf(id, k.out))
 		}
 		b.call++
-		return b.do(id, func(k *known) { k.out = b.call; k.pushes++ }, ledger.Record{Kind: ledger.Began, ID: id, At: 1001, To: "e1", Call: b.call})
+		return b.do(id, func(k *known) { k.out = b.call; k.pushes++ }, ledger.Record{Kind: ledger.CallStarted, ID: id, StartedAt: 1001, Endpoint: "e1", CallNumber: b.call})
 	case what < 7:
-		return b.do(id, func(k *known) { k.notice = "given_up" }, ledger.Record{Kind: ledger.Noticed, ID: id, Outcome: "given_up"})
+		return b.do(id, func(k *known) { k.notice = "given_up" }, ledger.Record{Kind: ledger.NoticePending, ID: id, Outcome: "given_up"})
 	default:
 		b.ids = remove(b.ids, id)
 		k := b.know[id]
-		err := b.do(id, func(k *known) { k.deleted = true }, ledger.Record{Kind: ledger.Over, ID: id})
-		k.ending = !k.deleted && errors.Is(err, faulty.ErrCrash)
+		err := b.do(id, func(k *known) { k.deleted = true }, ledger.Record{Kind: ledger.Completed, ID: id})
+		k.ending = !k.deleted && errors.Is(err, faulty.ErrCrashed)
 		if err != nil && !k.ending {
 			b.ids = append(b.ids, id) // refused: still owed
 		}
@@ -109,16 +109,16 @@
 
 // endOf draws how a call ended.
 func (b *book) endOf(id string, call uint64) ledger.Record {
-	b.ending = ledger.Record{Kind: ledger.NotRun, ID: id, Call: call, Unsent: b.chance.IntN(3) == 0}
+	b.ending = ledger.Record{Kind: ledger.CallNotRun, ID: id, CallNumber: call, Unsent: b.chance.IntN(3) == 0}
 	if b.chance.IntN(2) == 0 {
-		b.ending = ledger.Record{Kind: ledger.MayRun, ID: id, Call: call}
+		b.ending = ledger.Record{Kind: ledger.CallMayHaveRun, ID: id, CallNumber: call}
 	}
 	return b.ending
 }
 
 // end notes how the call that was out ended.
 func (k *known) end(r ledger.Record) {
-	k.out, k.ran = 0, k.ran || r.Kind == ledger.MayRun
+	k.out, k.ran = 0, k.ran || r.Kind == ledger.CallMayHaveRun
 	if r.Unsent {
 		k.pushes--
 	}
@@ -135,8 +135,8 @@
 }
 
 // compare tells where what a restart finds differs from what was told.
-func (b *book) compare(owed []ledger.Owed) error {
-	found := map[string]ledger.Owed{}
+func (b *book) compare(owed []ledger.Pending) error {
+	found := map[string]ledger.Pending{}
 	last := math.MinInt
 	for _, o := range owed {
 		id := o.Message.ID
@@ -172,7 +172,7 @@
 }
 
 // settle takes what a restart found as what is known from there on.
-func (b *book) settle(owed []ledger.Owed) {
+func (b *book) settle(owed []ledger.Pending) {
 	b.know, b.ids = map[string]*known{}, nil
 	for i, o := range owed {
 		b.ids = append(b.ids, o.Message.ID)
@@ -206,19 +206,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.l.Moved() == 0 {
+	if b.l.RewrittenBytes() == 0 {
 		t.Fatal("nothing was written anew: the run is too short to show compaction")
 	}
-	if whole.Held() > small {
-		t.Errorf("the files take %d bytes of %d", whole.Held(), small)
+	if whole.UsedBytes() > small {
+		t.Errorf("the files take %d bytes of %d", whole.UsedBytes(), small)
 	}
 	crashes := 0
 	for at := 1; at <= whole.Writes; at++ {
 		for _, keep := range []int{0, 7, 30, 1 << 20} {
 			f := faulty.New()
-			f.CrashAt, f.Keep = at, keep
+			f.CrashAtWrite, f.CrashKeepBytes = at, keep
 			b, err := play(f, steps, 7)
-			if !errors.Is(err, faulty.ErrCrash) {
+			if !errors.Is(err, faulty.ErrCrashed) {
 				t.Fatalf("write %d: %v", at, err)
 			}
 			crashes++
@@ -257,7 +257,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Room = max(room, f.Held())
+		f.CapacityBytes = max(room, f.UsedBytes())
 		refused, failed := 0, 0
 		for i := range 3000 {
 			was := len(b.ids)
@@ -270,7 +270,7 @@
 				}
 			}
 			if i == 2000 {
-				f.Room = -1
+				f.CapacityBytes = -1
 			}
 		}
 		if failed > 0 {
@@ -309,14 +309,14 @@
 	}
 	refused := 0
 	for i := range 2000 {
-		if f.Fail = nil; i%7 == 0 {
-			f.Fail = syscall.EIO
+		if f.WriteErr = nil; i%7 == 0 {
+			f.WriteErr = syscall.EIO
 		}
 		if err := b.step(); err != nil {
 			refused++
 		}
 	}
-	f.Fail = nil
+	f.WriteErr = nil
 	_, owed, err := openBook(f.Restart(), b)
 	if err == nil {
 		err = b.compare(owed)
@@ -357,10 +357,10 @@
 func Example_damage() {
 	f := faulty.New()
 	l, _, _, _ := ledger.Open(f, ledger.Options{Limit: small})
-	for _, r := range []ledger.Record{taken("a", 5), taken("b", 5), {Kind: ledger.Began, ID: "b", At: 1001, To: "e1", Call: 1}, taken("c", 5)} {
+	for _, r := range []ledger.Record{taken("a", 5), taken("b", 5), {Kind: ledger.CallStarted, ID: "b", StartedAt: 1001, Endpoint: "e1", CallNumber: 1}, taken("c", 5)} {
 		_ = l.Write(r)
 	}
-	text := f.Bytes("segment-000001")
+	text := f.Content("segment-000001")
 	at := strings.Index(string(text), "e1")
 	text[at] ^= 1
 	_, owed, report, err := ledger.Open(f.Restart(), ledger.Options{Limit: small})
@@ -378,9 +378,9 @@
 // The old single file is taken over whole, with its torn tail dropped; cut short at any write, it is done anew.
 func TestTakeover(t *testing.T) {
 	text := ledger.OldFile(taken("over", 5), taken("out", 900), taken("turned", 9), taken("ended", 0),
-		ledger.Record{Kind: ledger.Over, ID: "over"}, ledger.Record{Kind: ledger.Began, ID: "out", At: 1004, To: "e3"},
-		ledger.Record{Kind: ledger.Began, ID: "turned", At: 1004, To: "e3"}, ledger.Record{Kind: ledger.NotRun, ID: "turned"},
-		ledger.Record{Kind: ledger.Noticed, ID: "ended", Outcome: "handed_back", RetryIn: 0.5})
+		ledger.Record{Kind: ledger.Completed, ID: "over"}, ledger.Record{Kind: ledger.CallStarted, ID: "out", StartedAt: 1004, Endpoint: "e3"},
+		ledger.Record{Kind: ledger.CallStarted, ID: "turned", StartedAt: 1004, Endpoint: "e3"}, ledger.Record{Kind: ledger.CallNotRun, ID: "turned"},
+		ledger.Record{Kind: ledger.NoticePending, ID: "ended", Outcome: "handed_back", RetryIn: 0.5})
 	start := func() *faulty.Folder {
 		f := faulty.New()
 		f.Put("ledger", append(text[:len(text):len(text)], 40, 0, 0, 0, 1, 2))
@@ -403,13 +403,13 @@
 	if got := found(whole); got != want {
 		t.Fatal(got)
 	}
-	if whole.Bytes("ledger") != nil {
+	if whole.Content("ledger") != nil {
 		t.Error("the old file is still there")
 	}
 	for at := 1; at <= whole.Writes; at++ {
 		for _, keep := range []int{0, 9, 1 << 20} {
 			f := start()
-			f.CrashAt, f.Keep = at, keep
+			f.CrashAtWrite, f.CrashKeepBytes = at, keep
 			_ = found(f)
 			if got := found(f.Restart()); got != want {
 				t.Errorf("crash at write %d, %d kept: %s", at, keep, got)
@@ -433,16 +433,16 @@
 	if err := l.Write(taken("a", 5), taken("b", 5)); err != nil || f.Syncs == before {
 		t.Fatal(err, f.Syncs-before)
 	}
-	_ = l.Write(ledger.Record{Kind: ledger.Over, ID: "nobody"}) // and a file is made for the reserve
+	_ = l.Write(ledger.Record{Kind: ledger.Completed, ID: "nobody"}) // and a file is made for the reserve
 	before = f.Syncs
-	if err := l.Write(ledger.Record{Kind: ledger.Began, ID: "a", At: 1, To: "e"}, taken("c", 5)); err != nil || f.Syncs != before+1 {
+	if err := l.Write(ledger.Record{Kind: ledger.CallStarted, ID: "a", StartedAt: 1, Endpoint: "e"}, taken("c", 5)); err != nil || f.Syncs != before+1 {
 		t.Fatal(err, f.Syncs-before)
 	}
-	f.FailSync = syscall.EIO
+	f.SyncErr = syscall.EIO
 	if err := l.Write(taken("d", 5)); !errors.Is(err, syscall.EIO) {
 		t.Fatal(err)
 	}
-	f.FailSync, f.FailMake = nil, syscall.EACCES
+	f.SyncErr, f.CreateRemoveErr = nil, syscall.EACCES
 	took := 0
 	for i := 0; i < 1000 && err == nil; i++ {
 		if err = l.Write(taken(fmt.Sprint("n", i), 500)); err == nil {
@@ -452,7 +452,7 @@
 	if !errors.Is(err, syscall.EACCES) || took == 0 {
 		t.Fatal(took, err)
 	}
-	if err := l.Write(ledger.Record{Kind: ledger.Over, ID: "b"}); err != nil {
+	if err := l.Write(ledger.Record{Kind: ledger.Completed, ID: "b"}); err != nil {
 		t.Fatal("an end was refused:", err)
 	}
 	_, owed, _, err := ledger.Open(f.Restart(), ledger.Options{Limit: small})
--- a/ledger/export_test.go
+++ b/ledger/export_test.go
@@ -10,7 +10,7 @@
 	var b []byte
 	for _, r := range records {
 		body := encode(nil, r)
-		if r.Kind == Taken {
+		if r.Kind == Accepted {
 			body = body[:len(body)-1] // it had no number of its own, which is 0 here and takes one byte
 		}
 		b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -37,25 +37,25 @@
 	log      *seglog.Log
 	room     int // bytes for records in a file
 	live     int // bytes that the owed count for
-	owed     map[string]*Owed
-	members  map[int][]*Owed // by segment: those taken, or written again, there
-	cursor   int             // members of the oldest segment that were seen to
-	taken    int             // the place of the last taking in the order of all
-	lastCall uint64          // the highest number of a call that a record names
-	moved    int             // bytes written again, in all
-	tight    int             // writes until files are asked for again: the disk had no room for the reserve
-	why      error           // that there is no reserve
-	buf      []byte          // what is being written
-	part     []byte          // one record of it
+	owed     map[string]*Pending
+	members  map[int][]*Pending // by segment: those taken, or written again, there
+	cursor   int                // members of the oldest segment that were seen to
+	taken    int                // the place of the last taking in the order of all
+	lastCall uint64             // the highest number of a call that a record names
+	moved    int                // bytes written again, in all
+	tight    int                // writes until files are asked for again: the disk had no room for the reserve
+	why      error              // that there is no reserve
+	buf      []byte             // what is being written
+	part     []byte             // one record of it
 }
 
 // Report tells what opening found.
 type Report struct {
 	seglog.Report
-	TakenOver int `json:"taken_over,omitempty"` // records out of the old single file
-	Strangers int `json:"strangers,omitempty"`  // records of notifications whose taking is lost or over
-	Owed      int `json:"owed"`
-	Live      int `json:"live_bytes"`
+	Migrated  int `json:"taken_over,omitempty"` // records out of the old single file
+	Orphaned  int `json:"strangers,omitempty"`  // records of notifications whose taking is lost or over
+	Pending   int `json:"owed"`
+	LiveBytes int `json:"live_bytes"`
 }
 
 // cutFolder cuts a folder of so many bytes into files.
@@ -67,33 +67,33 @@
 
 // Options say how a ledger is kept.
 type Options struct {
-	Limit int  // bytes that all files together may take, in whole blocks
-	Sync  bool // what is written is on the disk when Write returns
-	Read  bool // only read: the folder stays as it is
+	Limit    int  // bytes that all files together may take, in whole blocks
+	Sync     bool // what is written is on the disk when Write returns
+	ReadOnly bool // only read: the folder stays as it is
 }
 
 // Open reads the folder, and returns what is still owed in the order it was taken. A push that was out when its process
 // ended may have run; so may all that was owed when a part of the records cannot be read.
-func Open(folder disk.Folder, o Options) (*Ledger, []Owed, Report, error) {
-	l := &Ledger{owed: map[string]*Owed{}, members: map[int][]*Owed{}}
+func Open(folder disk.Folder, o Options) (*Ledger, []Pending, Report, error) {
+	l := &Ledger{owed: map[string]*Pending{}, members: map[int][]*Pending{}}
 	var report Report
-	fail := func(err error) (*Ledger, []Owed, Report, error) {
+	fail := func(err error) (*Ledger, []Pending, Report, error) {
 		return nil, nil, report, fmt.Errorf("ledger: %w", err)
 	}
 	var legacy []byte
 	var err error
-	if !o.Read {
+	if !o.ReadOnly {
 		if legacy, err = readLegacy(folder); err != nil {
 			return fail(err)
 		}
 	}
 	file, count := cutFolder(o.Limit)
-	l.room = file - seglog.Head
-	l.log, report.Report, err = seglog.Open(folder, seglog.Options{Segment: file, Files: count, Sync: o.Sync, Read: o.Read},
+	l.room = file - seglog.HeaderSize
+	l.log, report.Report, err = seglog.Open(folder, seglog.Options{SegmentBytes: file, MaxFiles: count, Sync: o.Sync, ReadOnly: o.ReadOnly},
 		func(segment int, b []byte) {
 			r, err := decode(b)
-			if err != nil || r.Kind != Taken && r.Kind != Group && l.owed[r.ID] == nil {
-				report.Strangers++
+			if err != nil || r.Kind != Accepted && r.Kind != Batch && l.owed[r.ID] == nil {
+				report.Orphaned++
 				return
 			}
 			l.apply(r, segment, len(b))
@@ -102,44 +102,44 @@
 	if err != nil {
 		return fail(err)
 	}
-	if !o.Read {
+	if !o.ReadOnly {
 		l.reserve() // a disk without room takes nothing new on, but what is owed goes on
 	}
 	if legacy != nil {
-		if report.TakenOver, err = l.takeOver(folder, legacy); err != nil {
+		if report.Migrated, err = l.takeOver(folder, legacy); err != nil {
 			return fail(err)
 		}
 	}
-	l.lastCall = max(l.lastCall, l.log.Last())
-	var list []Owed
+	l.lastCall = max(l.lastCall, l.log.LastSeq())
+	var list []Pending
 	for _, x := range l.inOrder() {
 		x.leftOut()
 		o, m := *x, *x.Message // the caller's own: what is written later changes the ledger's
 		o.Message = &m
 		list = append(list, o)
 	}
-	report.Owed, report.Live = len(list), l.live
+	report.Pending, report.LiveBytes = len(list), l.live
 	return l, list, report, nil
 }
 
-// LastCall is a number that no call in the folder exceeds, nor one of a process before: calls are numbered from there on.
-func (l *Ledger) LastCall() uint64 { return l.lastCall }
+// LastCallNumber is a number that no call in the folder exceeds, nor one of a process before: calls are numbered from there on.
+func (l *Ledger) LastCallNumber() uint64 { return l.lastCall }
 
-// Room tells whether a new notification with so large a body fits, with room left for what will be told of it.
-func (l *Ledger) Room(body int) bool {
+// HasRoom tells whether a new notification with so large a body fits, with room left for what will be told of it.
+func (l *Ledger) HasRoom(body int) bool {
 	const head = 1024 // its other fields
-	n := l.log.Most() - reservedFiles - 1
+	n := l.log.MaxFiles() - reservedFiles - 1
 	return l.log.Fits(body+head) && float64(l.live+l.counts(body+head)) <= fillShare*float64(n*l.room)
 }
 
 // counts is what a record of a taking counts for: where few of its size go into a segment, its part of all of it.
 func (l *Ledger) counts(record int) int {
-	n := l.room / (record + seglog.Overhead + laterRecords)
+	n := l.room / (record + seglog.RecordOverhead + laterRecords)
 	return l.room / max(1, n)
 }
 
-// Group is how many bytes of records are best written in one go: so many surely fit a segment.
-func (l *Ledger) Group() int {
+// BatchBytes is how many bytes of records are best written in one go: so many surely fit a segment.
+func (l *Ledger) BatchBytes() int {
 	const part = 3 // of a segment
 	return l.room / part
 }
@@ -152,18 +152,18 @@
 func (l *Ledger) Write(records ...Record) error {
 	takes := false
 	for i := range records {
-		if r := &records[i]; r.Kind == Taken && r.Seq == 0 {
+		if r := &records[i]; r.Kind == Accepted && r.Seq == 0 {
 			l.taken++
 			r.Seq = l.taken
 		}
-		takes = takes || records[i].Kind == Taken
+		takes = takes || records[i].Kind == Accepted
 	}
 	l.encode(records)
-	if err := l.compact(len(l.buf)+seglog.Overhead, takes); err != nil && takes {
+	if err := l.compact(len(l.buf)+seglog.RecordOverhead, takes); err != nil && takes {
 		return err
 	}
 	segment, err := l.log.Append(l.buf)
-	if errors.Is(err, seglog.ErrFull) || errors.Is(err, seglog.ErrLarge) {
+	if errors.Is(err, seglog.ErrFull) || errors.Is(err, seglog.ErrTooLarge) {
 		return ErrFull
 	}
 	if err != nil {
@@ -175,9 +175,9 @@
 	return nil
 }
 
-// Settle makes sure that no later process reads what a failed write left, and tells whether that is so. Until then a message
+// DiscardFailedWrite makes sure that no later process reads what a failed write left, and tells whether that is so. Until then a message
 // whose taking failed must not be told as refused.
-func (l *Ledger) Settle() bool { return l.log.Settle() == nil }
+func (l *Ledger) DiscardFailedWrite() bool { return l.log.DiscardFailedWrite() == nil }
 
 // encode puts records into the buffer as one, and notes what each of them takes.
 func (l *Ledger) encode(records []Record) {
@@ -187,7 +187,7 @@
 		records[0].size = len(l.buf)
 		return
 	}
-	l.buf = putText(append(l.buf, byte(Group)), "")
+	l.buf = putText(append(l.buf, byte(Batch)), "")
 	for i := range records {
 		l.part = encode(l.part[:0], records[i])
 		records[i].size = len(l.part)
@@ -195,23 +195,23 @@
 	}
 }
 
-// Moved is how many bytes were written again so far.
-func (l *Ledger) Moved() int { return l.moved }
+// RewrittenBytes is how many bytes were written again so far.
+func (l *Ledger) RewrittenBytes() int { return l.moved }
 
-// Live is how many bytes what is owed counts for, of how many the files hold.
-func (l *Ledger) Live() (live, of int) {
-	return l.live, (l.log.Used() + l.log.Free()) * l.room
+// LiveBytes is how many bytes what is owed counts for, of how many the files hold.
+func (l *Ledger) LiveBytes() (live, of int) {
+	return l.live, (l.log.UsedFiles() + l.log.FreeFiles()) * l.room
 }
 
 // Close closes the files.
 func (l *Ledger) Close() error { return l.log.Close() }
 
 // inOrder lists what is owed as it was taken.
-func (l *Ledger) inOrder() []*Owed {
-	list := make([]*Owed, 0, len(l.owed))
+func (l *Ledger) inOrder() []*Pending {
+	list := make([]*Pending, 0, len(l.owed))
 	for _, x := range l.owed {
 		list = append(list, x)
 	}
-	slices.SortFunc(list, func(a, b *Owed) int { return cmp.Compare(a.seq, b.seq) })
+	slices.SortFunc(list, func(a, b *Pending) int { return cmp.Compare(a.seq, b.seq) })
 	return list
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -13,9 +13,9 @@
 )
 
 func taken(id string, body int) ledger.Record {
-	m := &message.Message{Until: 1020, Mark: "mark", Body: []byte(strings.Repeat("x", body))}
+	m := &message.Message{ExpiresAt: 1020, IdempotencyKey: "mark", Body: []byte(strings.Repeat("x", body))}
 	m.ID, m.Topic, m.Tenant, m.Dest, m.Key = id, "order", "acme", "7", "account"
-	return ledger.Record{Kind: ledger.Taken, ID: id, Message: m}
+	return ledger.Record{Kind: ledger.Accepted, ID: id, Message: m}
 }
 
 func folder() string {
@@ -39,7 +39,7 @@
 	for _, o := range owed {
 		m := o.Message
 		fmt.Printf("%s %s %s %s %s %s %g, %d bytes: %d pushes, ran at %g %q", m.ID, m.Topic, m.Tenant, m.Dest, m.Key,
-			m.Mark, m.Until, len(m.Body), m.Pushes, m.RanAt, m.RanTo)
+			m.IdempotencyKey, m.ExpiresAt, len(m.Body), m.Pushes, m.RanAt, m.RanTo)
 		if o.Notice != nil {
 			fmt.Printf(", notice %s %g", o.Notice.Outcome, o.Notice.RetryIn)
 		}
@@ -64,13 +64,13 @@
 	defer os.RemoveAll(dir)
 	l := open(dir, 1<<20)
 	_ = l.Write(taken("over", 5), taken("fresh", 5), taken("out", 5), taken("ran", 5), taken("notice", 0))
-	_ = l.Write(ledger.Record{Kind: ledger.Began, ID: "over", At: 1001, To: "e1", Call: 1},
-		ledger.Record{Kind: ledger.Over, ID: "over"},
-		ledger.Record{Kind: ledger.Began, ID: "fresh", At: 1001, To: "e1", Call: 2}, ledger.Record{Kind: ledger.NotRun, ID: "fresh", Call: 2},
-		ledger.Record{Kind: ledger.Began, ID: "ran", At: 1002, To: "e1", Call: 3}, ledger.Record{Kind: ledger.MayRun, ID: "ran", Call: 3},
-		ledger.Record{Kind: ledger.Began, ID: "ran", At: 1003, To: "e2", Call: 4}, ledger.Record{Kind: ledger.NotRun, ID: "ran", Call: 4},
-		ledger.Record{Kind: ledger.Noticed, ID: "notice", Outcome: "handed_back", RetryIn: 0.5},
-		ledger.Record{Kind: ledger.Began, ID: "out", At: 1004, To: "e3", Call: 5})
+	_ = l.Write(ledger.Record{Kind: ledger.CallStarted, ID: "over", StartedAt: 1001, Endpoint: "e1", CallNumber: 1},
+		ledger.Record{Kind: ledger.Completed, ID: "over"},
+		ledger.Record{Kind: ledger.CallStarted, ID: "fresh", StartedAt: 1001, Endpoint: "e1", CallNumber: 2}, ledger.Record{Kind: ledger.CallNotRun, ID: "fresh", CallNumber: 2},
+		ledger.Record{Kind: ledger.CallStarted, ID: "ran", StartedAt: 1002, Endpoint: "e1", CallNumber: 3}, ledger.Record{Kind: ledger.CallMayHaveRun, ID: "ran", CallNumber: 3},
+		ledger.Record{Kind: ledger.CallStarted, ID: "ran", StartedAt: 1003, Endpoint: "e2", CallNumber: 4}, ledger.Record{Kind: ledger.CallNotRun, ID: "ran", CallNumber: 4},
+		ledger.Record{Kind: ledger.NoticePending, ID: "notice", Outcome: "handed_back", RetryIn: 0.5},
+		ledger.Record{Kind: ledger.CallStarted, ID: "out", StartedAt: 1004, Endpoint: "e3", CallNumber: 5})
 	_ = os.WriteFile(filepath.Join(dir, "segment-000009"), []byte("half"), 0o600)
 	open(dir, 1<<20)
 	fmt.Println("and once more")
@@ -96,8 +96,8 @@
 	held, most := []string{}, int64(0)
 	for i := range 400 {
 		id := fmt.Sprint(i)
-		for !l.Room(20 << 10) {
-			_ = l.Write(ledger.Record{Kind: ledger.Over, ID: held[0]})
+		for !l.HasRoom(20 << 10) {
+			_ = l.Write(ledger.Record{Kind: ledger.Completed, ID: held[0]})
 			held = held[1:]
 		}
 		if err := l.Write(taken(id, 20<<10)); err != nil {
@@ -105,7 +105,7 @@
 		}
 		held = append(held, id)
 		for range 8 {
-			_ = l.Write(ledger.Record{Kind: ledger.Began, ID: id, At: 1001, To: "e1", Call: 1}, ledger.Record{Kind: ledger.NotRun, ID: id, Call: 1})
+			_ = l.Write(ledger.Record{Kind: ledger.CallStarted, ID: id, StartedAt: 1001, Endpoint: "e1", CallNumber: 1}, ledger.Record{Kind: ledger.CallNotRun, ID: id, CallNumber: 1})
 		}
 		most = max(most, used(dir))
 	}
--- a/ledger/legacy.go
+++ b/ledger/legacy.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			break // the tail was being written when the process ended
 		}
-		if r.Kind == Taken || l.owed[r.ID] != nil {
+		if r.Kind == Accepted || l.owed[r.ID] != nil {
 			l.apply(r, 0, size)
 		}
 		text, n = text[size:], n+1
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -14,31 +14,31 @@
 
 // The kinds of record.
 const (
-	Taken   Kind = iota + 1 // taken on, with all of it
-	Began                   // a push is about to be written
-	NotRun                  // the call that it names never ran
-	MayRun                  // the call that it names may have run
-	Noticed                 // it is to be ended by a notice
-	Over                    // nothing more is owed
-	Group                   // several records in one: they are there whole or not at all
+	Accepted       Kind = iota + 1 // taken on, with all of it
+	CallStarted                    // a push is about to be written
+	CallNotRun                     // the call that it names never ran
+	CallMayHaveRun                 // the call that it names may have run
+	NoticePending                  // it is to be ended by a notice
+	Completed                      // nothing more is owed
+	Batch                          // several records in one: they are there whole or not at all
 )
 
 // Record is one line of the ledger.
 type Record struct {
-	Kind    Kind
-	ID      string
-	Message *message.Message // Taken
-	At      float64          // Began: when
-	To      string           // Began: the endpoint
-	Zone    string           // Began: the endpoint's zone, as listed then
-	Call    uint64           // Began, NotRun, MayRun: the call's number; 0 in records of versions that had none
-	Unsent  bool             // NotRun: nothing of it was sent, and it counts as no push
-	Outcome string           // Noticed: its wording
-	RetryIn float64          // Noticed: seconds, 0 for none
-	Pushes  int              // Taken: pushes so far, where a group tells again all that is needed of it
-	Seq     int              // Taken: its place in the order of takings
-	Parts   []Record         // Group
-	size    int              // bytes that it takes, as it was read
+	Kind       Kind
+	ID         string
+	Message    *message.Message // Taken
+	StartedAt  float64          // Began: when
+	Endpoint   string           // Began: the endpoint
+	Zone       string           // Began: the endpoint's zone, as listed then
+	CallNumber uint64           // Began, NotRun, MayRun: the call's number; 0 in records of versions that had none
+	Unsent     bool             // NotRun: nothing of it was sent, and it counts as no push
+	Outcome    string           // Noticed: its wording
+	RetryIn    float64          // Noticed: seconds, 0 for none
+	Pushes     int              // Taken: pushes so far, where a group tells again all that is needed of it
+	Seq        int              // Taken: its place in the order of takings
+	Parts      []Record         // Group
+	size       int              // bytes that it takes, as it was read
 }
 
 var errTorn = errors.New("torn record")
@@ -51,29 +51,29 @@
 	b = append(b, byte(r.Kind))
 	b = putText(b, r.ID)
 	switch r.Kind {
-	case Taken:
+	case Accepted:
 		m := r.Message
-		for _, s := range []string{m.Topic, m.Tenant, m.Dest, m.Key, m.Mark, m.RanTo} {
+		for _, s := range []string{m.Topic, m.Tenant, m.Dest, m.Key, m.IdempotencyKey, m.RanTo} {
 			b = putText(b, s)
 		}
 		b = append(binary.AppendUvarint(b, uint64(len(m.Body))), m.Body...)
-		b = putFloat(putFloat(b, m.Until), m.RanAt)
+		b = putFloat(putFloat(b, m.ExpiresAt), m.RanAt)
 		b = binary.AppendUvarint(b, uint64(r.Pushes))
 		b = binary.AppendUvarint(b, uint64(r.Seq))
 		if m.RanAt > 0 {
 			b = binary.AppendUvarint(putText(b, m.RanZone), m.RanCall)
 		}
-	case Group:
+	case Batch:
 		for _, part := range r.Parts {
 			b = putText(b, string(encode(nil, part)))
 		}
-	case Began:
-		b = putText(putText(putFloat(b, r.At), r.To), r.Zone)
-		b = binary.AppendUvarint(b, r.Call)
-	case NotRun, MayRun:
-		b = binary.AppendUvarint(b, r.Call)
+	case CallStarted:
+		b = putText(putText(putFloat(b, r.StartedAt), r.Endpoint), r.Zone)
+		b = binary.AppendUvarint(b, r.CallNumber)
+	case CallNotRun, CallMayHaveRun:
+		b = binary.AppendUvarint(b, r.CallNumber)
 		b = append(b, flag(r.Unsent))
-	case Noticed:
+	case NoticePending:
 		b = putFloat(putText(b, r.Outcome), r.RetryIn)
 	}
 	return b
@@ -87,43 +87,43 @@
 	f := &fields{b: b[1:]}
 	r := Record{Kind: Kind(b[0]), ID: f.text()}
 	switch r.Kind {
-	case Taken:
+	case Accepted:
 		m := &message.Message{}
 		m.ID = r.ID
-		for _, s := range []*string{&m.Topic, &m.Tenant, &m.Dest, &m.Key, &m.Mark, &m.RanTo} {
+		for _, s := range []*string{&m.Topic, &m.Tenant, &m.Dest, &m.Key, &m.IdempotencyKey, &m.RanTo} {
 			*s = f.text()
 		}
 		m.Body = []byte(f.text())
-		m.Until, m.RanAt = f.float(), f.float()
+		m.ExpiresAt, m.RanAt = f.float(), f.float()
 		if r.Message, r.Pushes = m, int(f.uint()); len(f.b) > 0 { // the old single file has no such number
 			r.Seq = int(f.uint())
 		}
 		if len(f.b) > 0 {
 			m.RanZone, m.RanCall = f.text(), f.uint()
 		}
-	case Group:
+	case Batch:
 		for len(f.b) > 0 {
 			text := f.text()
 			part, err := decode([]byte(text))
-			if err != nil || part.Kind == Group {
+			if err != nil || part.Kind == Batch {
 				return Record{}, errTorn
 			}
 			part.size = len(text)
 			r.Parts = append(r.Parts, part)
 		}
-	case Began:
-		r.At, r.To = f.float(), f.text()
+	case CallStarted:
+		r.StartedAt, r.Endpoint = f.float(), f.text()
 		if len(f.b) > 0 {
-			r.Zone, r.Call = f.text(), f.uint()
+			r.Zone, r.CallNumber = f.text(), f.uint()
 		}
-	case NotRun, MayRun:
+	case CallNotRun, CallMayHaveRun:
 		if len(f.b) > 0 {
-			r.Call, r.Unsent = f.uint(), f.uint() > 0
+			r.CallNumber, r.Unsent = f.uint(), f.uint() > 0
 		}
-	case Noticed:
+	case NoticePending:
 		r.Outcome, r.RetryIn = f.text(), f.float()
 	}
-	if f.short || r.Kind < Taken || r.Kind > Group {
+	if f.short || r.Kind < Accepted || r.Kind > Batch {
 		return Record{}, errTorn
 	}
 	return r, nil
--- a/ledger/restarts_test.go
+++ b/ledger/restarts_test.go
@@ -13,7 +13,7 @@
 // however many processes read the folder in between.
 func TestCallOutlastsProcesses(t *testing.T) {
 	f := faulty.New()
-	reopen := func() (*ledger.Ledger, ledger.Owed) {
+	reopen := func() (*ledger.Ledger, ledger.Pending) {
 		f = f.Restart()
 		l, owed, _, err := ledger.Open(f, ledger.Options{Limit: small})
 		if err != nil || len(owed) != 1 {
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := first.Write(taken("a", 5), ledger.Record{Kind: ledger.Began, ID: "a", At: 1001, To: "e1"}); err != nil {
+	if err := first.Write(taken("a", 5), ledger.Record{Kind: ledger.CallStarted, ID: "a", StartedAt: 1001, Endpoint: "e1"}); err != nil {
 		t.Fatal(err)
 	}
 	for process := 2; process <= 4; process++ {
@@ -33,7 +33,7 @@
 		if owed.Message.RanAt != 1001 || owed.Message.RanTo != "e1" {
 			t.Fatalf("process %d: may have run at %g at %q", process, owed.Message.RanAt, owed.Message.RanTo)
 		}
-		if err := l.Write(ledger.Record{Kind: ledger.NotRun, ID: "a"}); err != nil {
+		if err := l.Write(ledger.Record{Kind: ledger.CallNotRun, ID: "a"}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -41,15 +41,15 @@
 
 // began, notRun and mayRun are records of a call.
 func began(call uint64, at float64, to, zone string) ledger.Record {
-	return ledger.Record{Kind: ledger.Began, ID: "a", At: at, To: to, Zone: zone, Call: call}
+	return ledger.Record{Kind: ledger.CallStarted, ID: "a", StartedAt: at, Endpoint: to, Zone: zone, CallNumber: call}
 }
 
 func notRun(call uint64) ledger.Record {
-	return ledger.Record{Kind: ledger.NotRun, ID: "a", Call: call}
+	return ledger.Record{Kind: ledger.CallNotRun, ID: "a", CallNumber: call}
 }
 
 func mayRun(call uint64) ledger.Record {
-	return ledger.Record{Kind: ledger.MayRun, ID: "a", Call: call}
+	return ledger.Record{Kind: ledger.CallMayHaveRun, ID: "a", CallNumber: call}
 }
 
 // What the records of several processes come to. Each list is one process's; after each the folder is read anew, twice, with
@@ -60,18 +60,18 @@
 	for name, c := range map[string]struct {
 		processes [][]ledger.Record
 		want      string // when, where, in which zone and by which call it may have run first; pushes
-		last      ledger.AttemptEnd
+		last      ledger.CallEnd
 	}{
-		"one call left out":                    {[][]ledger.Record{{began(1, 1001, "e1", "a")}}, `1001 e1 a 1, 1 pushes`, ledger.Unanswered},
-		"an end that names no call":            {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {notRun(0)}}, `1001 e1 a 1, 1 pushes`, ledger.Unanswered},
-		"an end of a call that never began":    {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {notRun(2)}}, `1001 e1 a 1, 1 pushes`, ledger.Unanswered},
-		"a second call that never ran":         {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {began(2, 1003, "e2", "b"), notRun(2)}}, `1001 e1 a 1, 2 pushes`, ledger.NeverRan},
-		"a second call that may have run":      {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {began(2, 1003, "e2", "b"), mayRun(2)}, {notRun(0)}}, `1001 e1 a 1, 2 pushes`, ledger.MayHaveRun},
-		"both left out":                        {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {began(2, 1003, "e2", "b")}, {}}, `1001 e1 a 1, 2 pushes`, ledger.Unanswered},
-		"the first never ran":                  {[][]ledger.Record{{began(1, 1001, "e1", "a"), notRun(1)}, {began(2, 1003, "e2", "b")}}, `1003 e2 b 2, 2 pushes`, ledger.Unanswered},
-		"a call that nothing was sent of":      {[][]ledger.Record{{began(1, 1001, "e1", "a"), notRun(1), began(2, 1003, "e2", "b"), unsent}}, `0   0, 1 pushes`, ledger.NeverRan},
-		"an end whose beginning is not there":  {[][]ledger.Record{{mayRun(7)}}, `1   0, 0 pushes`, ledger.NeverCalled},
-		"records of a version without numbers": {[][]ledger.Record{{began(0, 1001, "e1", ""), notRun(0)}, {began(3, 1004, "e2", "b"), notRun(3)}}, `1001 e1  0, 2 pushes`, ledger.NeverRan},
+		"one call left out":                    {[][]ledger.Record{{began(1, 1001, "e1", "a")}}, `1001 e1 a 1, 1 pushes`, ledger.EndUnanswered},
+		"an end that names no call":            {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {notRun(0)}}, `1001 e1 a 1, 1 pushes`, ledger.EndUnanswered},
+		"an end of a call that never began":    {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {notRun(2)}}, `1001 e1 a 1, 1 pushes`, ledger.EndUnanswered},
+		"a second call that never ran":         {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {began(2, 1003, "e2", "b"), notRun(2)}}, `1001 e1 a 1, 2 pushes`, ledger.EndNeverRan},
+		"a second call that may have run":      {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {began(2, 1003, "e2", "b"), mayRun(2)}, {notRun(0)}}, `1001 e1 a 1, 2 pushes`, ledger.EndMayHaveRun},
+		"both left out":                        {[][]ledger.Record{{began(1, 1001, "e1", "a")}, {began(2, 1003, "e2", "b")}, {}}, `1001 e1 a 1, 2 pushes`, ledger.EndUnanswered},
+		"the first never ran":                  {[][]ledger.Record{{began(1, 1001, "e1", "a"), notRun(1)}, {began(2, 1003, "e2", "b")}}, `1003 e2 b 2, 2 pushes`, ledger.EndUnanswered},
+		"a call that nothing was sent of":      {[][]ledger.Record{{began(1, 1001, "e1", "a"), notRun(1), began(2, 1003, "e2", "b"), unsent}}, `0   0, 1 pushes`, ledger.EndNeverRan},
+		"an end whose beginning is not there":  {[][]ledger.Record{{mayRun(7)}}, `1   0, 0 pushes`, ledger.EndNone},
+		"records of a version without numbers": {[][]ledger.Record{{began(0, 1001, "e1", ""), notRun(0)}, {began(3, 1004, "e2", "b"), notRun(3)}}, `1001 e1  0, 2 pushes`, ledger.EndNeverRan},
 	} {
 		f := faulty.New()
 		l, _, _, err := ledger.Open(f, ledger.Options{Limit: small})
@@ -101,8 +101,8 @@
 				if got := fmt.Sprintf("%g %s %s %d, %d pushes", m.RanAt, m.RanTo, m.RanZone, m.RanCall, m.Pushes); got != c.want {
 					t.Errorf("%s, round %d: %s, want %s", name, round, got, c.want)
 				}
-				if round == 0 && owed[0].Last.End != c.last { // a snapshot keeps only what ended calls come to
-					t.Errorf("%s: the last call %q, want %q", name, owed[0].Last.End, c.last)
+				if round == 0 && owed[0].LastCall.End != c.last { // a snapshot keeps only what ended calls come to
+					t.Errorf("%s: the last call %q, want %q", name, owed[0].LastCall.End, c.last)
 				}
 				if err := l.Compact(); err != nil {
 					t.Fatal(err)
@@ -125,7 +125,7 @@
 			t.Fatal(err)
 		}
 	}
-	text := f.Bytes("segment-000001")
+	text := f.Content("segment-000001")
 	text[strings.Index(string(text), "e1")] ^= 1 // that the call was begun nobody knows any more
 	for process := 2; process <= 4; process++ {
 		f = f.Restart()
@@ -140,9 +140,9 @@
 			t.Errorf("process %d: damage seen: %v", process, damaged)
 		}
 		filler := 0
-		for l.Moved() == 0 || f.Bytes("segment-000001")[0] != 0 { // until the damaged segment was given back
+		for l.RewrittenBytes() == 0 || f.Content("segment-000001")[0] != 0 { // until the damaged segment was given back
 			filler++
-			if err := l.Write(taken(fmt.Sprint("filler", process, filler), 2000), ledger.Record{Kind: ledger.Over, ID: fmt.Sprint("filler", process, filler)}); err != nil {
+			if err := l.Write(taken(fmt.Sprint("filler", process, filler), 2000), ledger.Record{Kind: ledger.Completed, ID: fmt.Sprint("filler", process, filler)}); err != nil {
 				t.Fatal(err)
 			}
 			if filler > 1000 {
@@ -165,11 +165,11 @@
 		}
 		for i := range 200 {
 			id := fmt.Sprint("filler", i)
-			if err := l.Write(taken(id, 2000), ledger.Record{Kind: ledger.Over, ID: id}); err != nil {
+			if err := l.Write(taken(id, 2000), ledger.Record{Kind: ledger.Completed, ID: id}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if l.Moved() == 0 {
+		if l.RewrittenBytes() == 0 {
 			t.Fatal("nothing was written again")
 		}
 		if ended {
@@ -201,15 +201,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range []ledger.Record{taken("before", 5), {Kind: ledger.Over, ID: "nobody"}} { // after that there is a reserve
+		for _, r := range []ledger.Record{taken("before", 5), {Kind: ledger.Completed, ID: "nobody"}} { // after that there is a reserve
 			if err := l.Write(r); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f.CrashAt, f.Keep = f.Writes+1, part
-		written := f.Wrote
+		f.CrashAtWrite, f.CrashKeepBytes = f.Writes+1, part
+		written := f.WrittenBytes
 		err = l.Write(taken("a", 5), taken("b", 5), began(1, 1001, "e1", "z"))
-		written = f.Wrote - written
+		written = f.WrittenBytes - written
 		if err == nil {
 			t.Fatal("the write did not fail")
 		}
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -5,35 +5,35 @@
 // unknownTime is when a push may have run whose record is lost: so long ago that nobody knows its mark.
 const unknownTime = 1
 
-// Owed is a notification that still needs its end.
-type Owed struct {
-	Message *message.Message // with its pushes, and the first that may have run
-	Notice  *Record          // its notice, if that is all it still needs
-	Last    Attempt          // its last call, as far as records of it are still there
-	out     *Record          // the Began of the call that has no end yet
-	seq     int
-	size    int // bytes that it counts for
-	segment int // where its oldest record is that is still needed
-	over    bool
+// Pending is a notification that still needs its end.
+type Pending struct {
+	Message  *message.Message // with its pushes, and the first that may have run
+	Notice   *Record          // its notice, if that is all it still needs
+	LastCall Call             // its last call, as far as records of it are still there
+	out      *Record          // the Began of the call that has no end yet
+	seq      int
+	size     int // bytes that it counts for
+	segment  int // where its oldest record is that is still needed
+	over     bool
 }
 
-// AttemptEnd says what the records tell of how a call ended.
-type AttemptEnd string
+// CallEnd says what the records tell of how a call ended.
+type CallEnd string
 
 // The ends of a call.
 const (
-	NeverCalled AttemptEnd = ""             // there is no call, or none whose record is still needed
-	Unanswered  AttemptEnd = "unanswered"   // it was out when its process ended
-	NeverRan    AttemptEnd = "never ran"    // it never ran
-	MayHaveRun  AttemptEnd = "may have run" // it was answered so, or went unheard
+	EndNone       CallEnd = ""             // there is no call, or none whose record is still needed
+	EndUnanswered CallEnd = "unanswered"   // it was out when its process ended
+	EndNeverRan   CallEnd = "never ran"    // it never ran
+	EndMayHaveRun CallEnd = "may have run" // it was answered so, or went unheard
 )
 
-// Attempt is a call as its records tell it.
-type Attempt struct {
-	Call uint64  // its number
-	At   float64 // when it began, seconds of the dispatcher's clock
-	To   string  // the endpoint
-	End  AttemptEnd
+// Call is a call as its records tell it.
+type Call struct {
+	Number    uint64  // its number
+	StartedAt float64 // when it began, seconds of the dispatcher's clock
+	Endpoint  string  // the endpoint
+	End       CallEnd
 }
 
 // State is what is to become of a notification that is owed.
@@ -41,10 +41,10 @@
 
 // The states.
 const (
-	Untried   State = iota // no call of it was ever begun
-	Tried                  // its calls never ran
-	Uncertain              // one of its calls may have run
-	Ending                 // it waits for the answer to its notice
+	Untried          State = iota // no call of it was ever begun
+	Tried                         // its calls never ran
+	Uncertain                     // one of its calls may have run
+	NoticeUnanswered              // it waits for the answer to its notice
 )
 
 // String is the state's name in logs and metrics.
@@ -53,10 +53,10 @@
 }
 
 // State tells what is to become of it.
-func (x Owed) State() State {
+func (x Pending) State() State {
 	switch {
 	case x.Notice != nil:
-		return Ending
+		return NoticeUnanswered
 	case x.Message.RanAt > 0:
 		return Uncertain
 	case x.Message.Pushes > 0:
@@ -68,24 +68,24 @@
 // apply takes a record of so many bytes in a segment into what is owed.
 func (l *Ledger) apply(r Record, segment, bytes int) {
 	x := l.owed[r.ID]
-	l.lastCall = max(l.lastCall, r.Call)
+	l.lastCall = max(l.lastCall, r.CallNumber)
 	switch {
-	case r.Kind == Group:
+	case r.Kind == Batch:
 		for _, part := range r.Parts {
 			l.apply(part, segment, part.size)
 		}
-	case r.Kind == Taken:
+	case r.Kind == Accepted:
 		l.take(r, segment, bytes)
 	case x == nil: // already over
-	case r.Kind == Began:
+	case r.Kind == CallStarted:
 		x.began(&r)
-	case r.Kind == NotRun:
+	case r.Kind == CallNotRun:
 		x.notRun(r)
-	case r.Kind == MayRun:
+	case r.Kind == CallMayHaveRun:
 		x.mayRun(r)
-	case r.Kind == Noticed:
+	case r.Kind == NoticePending:
 		x.Notice = &r
-	case r.Kind == Over:
+	case r.Kind == Completed:
 		l.live -= x.size
 		x.over, x.Message, x.Notice, x.out = true, nil, nil, nil // its segment goes later
 		delete(l.owed, r.ID)
@@ -104,18 +104,18 @@
 		r.Seq = l.taken + 1
 	}
 	l.taken = max(l.taken, r.Seq)
-	x := &Owed{Message: &m, seq: r.Seq, size: l.counts(bytes), segment: segment}
+	x := &Pending{Message: &m, seq: r.Seq, size: l.counts(bytes), segment: segment}
 	l.owed[r.ID] = x
 	l.live += x.size
 	l.members[segment] = append(l.members[segment], x)
 }
 
 // began takes in that a call is about to be written. One that had no end by then is of a process that ended.
-func (x *Owed) began(r *Record) {
+func (x *Pending) began(r *Record) {
 	x.leftOut()
 	x.Message.Pushes++
 	x.out = r
-	x.Last = Attempt{Call: r.Call, At: r.At, To: r.To, End: Unanswered}
+	x.LastCall = Call{Number: r.CallNumber, StartedAt: r.StartedAt, Endpoint: r.Endpoint, End: EndUnanswered}
 }
 
 // notRun takes in that a call never ran. It counts for that call alone: an end that names another, or none, as records of
@@ -124,21 +124,21 @@
 // then count as what may have run.
 //
 // It guards against a repeat outside its window and group after two restarts (incident of 2026-12-02).
-func (x *Owed) notRun(r Record) {
-	if x.out == nil || r.Call == 0 || x.out.Call != r.Call {
+func (x *Pending) notRun(r Record) {
+	if x.out == nil || r.CallNumber == 0 || x.out.CallNumber != r.CallNumber {
 		return
 	}
-	x.out, x.Last.End = nil, NeverRan
+	x.out, x.LastCall.End = nil, EndNeverRan
 	if r.Unsent {
 		x.Message.Pushes--
 	}
 }
 
 // mayRun takes in that a call may have run. One whose beginning is not among the records may have run long ago.
-func (x *Owed) mayRun(r Record) {
-	if x.out != nil && x.out.Call == r.Call {
+func (x *Pending) mayRun(r Record) {
+	if x.out != nil && x.out.CallNumber == r.CallNumber {
 		x.ran()
-		x.Last.End = MayHaveRun
+		x.LastCall.End = EndMayHaveRun
 		return
 	}
 	x.leftOut()
@@ -149,16 +149,16 @@
 
 // leftOut concludes of a call without an end that it may have run: its process ended while it was out. Nothing that is
 // written later takes that back, so that it need not be written itself: each process that reads the records concludes the same.
-func (x *Owed) leftOut() {
+func (x *Pending) leftOut() {
 	if x.out != nil {
 		x.ran()
 	}
 }
 
 // ran notes that the call that was out may have run. The first such call counts.
-func (x *Owed) ran() {
+func (x *Pending) ran() {
 	if m := x.Message; m.RanAt == 0 {
-		m.RanAt, m.RanTo, m.RanZone, m.RanCall = x.out.At, x.out.To, x.out.Zone, x.out.Call
+		m.RanAt, m.RanTo, m.RanZone, m.RanCall = x.out.StartedAt, x.out.Endpoint, x.out.Zone, x.out.CallNumber
 	}
 	x.out = nil
 }
@@ -174,8 +174,8 @@
 }
 
 // records are the fewest that tell what is owed of a notification.
-func (x *Owed) records() []Record {
-	list := []Record{{Kind: Taken, ID: x.Message.ID, Message: x.Message, Pushes: x.Message.Pushes, Seq: x.seq}}
+func (x *Pending) records() []Record {
+	list := []Record{{Kind: Accepted, ID: x.Message.ID, Message: x.Message, Pushes: x.Message.Pushes, Seq: x.seq}}
 	if x.out != nil {
 		list[0].Pushes--
 		list = append(list, *x.out)
--- a/message/message.go
+++ b/message/message.go
@@ -6,8 +6,8 @@
 // Message is a notification with what its endpoint gets.
 type Message struct {
 	decide.Notification
-	Until   float64 // when its TTL ends, Unix time in seconds
-	Mark    string  // the idempotency key, "" for none
-	Body    []byte
-	RanCall uint64 // the number of the call of RanAt, 0 where that is not known
+	ExpiresAt      float64 // when its TTL ends, Unix time in seconds
+	IdempotencyKey string  // the idempotency key, "" for none
+	Body           []byte
+	RanCall        uint64 // the number of the call of RanAt, 0 where that is not known
 }
--- a/push/call.go
+++ b/push/call.go
@@ -19,33 +19,33 @@
 	wrapping = 256      // what stands round a message there
 )
 
-// LeastWait is the least time that a call can tell its endpoint, in seconds.
-const LeastWait = 1e-3
+// MinBudget is the least time that a call can tell its endpoint, in seconds.
+const MinBudget = 1e-3
 
 // Fits tells whether one more message fits the body of a call.
 func Fits(list []*message.Message, m *message.Message) bool {
 	size := 0
 	for _, x := range append(list[:len(list):len(list)], m) {
-		size += wrapping + len(x.ID) + len(x.Mark) + base64.StdEncoding.EncodedLen(len(x.Body))
+		size += wrapping + len(x.ID) + len(x.IdempotencyKey) + base64.StdEncoding.EncodedLen(len(x.Body))
 	}
 	return size <= mostCall
 }
 
-// Answer tells how a call ended: one end for each message, in their order, and what the endpoint told.
-type Answer struct {
-	Ends     []End
-	Wait     float64 // seconds, 0 for none
-	Reported bool
-	Share    float64
-	Limit    float64
-	Reusable bool   // the connection can carry another call
-	Raw      []byte // the first bytes of an answer that could not be read
-	Late     bool   // it was given up, and what is still on its way there is to be heard: LastWord
+// CallResult tells how a call ended: one end for each message, in their order, and what the endpoint told.
+type CallResult struct {
+	Ends                []End
+	RetryAfter          float64 // seconds, 0 for none
+	HasLoadReport       bool
+	LoadShare           float64
+	LoadLimit           float64
+	Reusable            bool   // the connection can carry another call
+	RawPrefix           []byte // the first bytes of an answer that could not be read
+	LateResponsePending bool   // it was given up, and what is still on its way there is to be heard: LastWord
 }
 
-// All is the answer in which all of n messages ended alike.
-func All(n int, end End) Answer {
-	a := Answer{Ends: make([]End, n)}
+// UniformResult is the answer in which all of n messages ended alike.
+func UniformResult(n int, end End) CallResult {
+	a := CallResult{Ends: make([]End, n)}
 	for i := range a.Ends {
 		a.Ends[i] = end
 	}
@@ -54,33 +54,33 @@
 
 // Send writes one call with the messages and waits so many seconds for its answer. A connection that cannot be
 // used again is closed, or else the answer is Late, and LastWord closes it.
-func (c *Conn) Send(list []*message.Message, wait float64) Answer {
+func (c *Conn) Send(list []*message.Message, wait float64) CallResult {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	wait = math.Floor(wait*1000) / 1000 // as it is told: an answer after that counts for nothing at the endpoint
 	encode(req, c.addr, list, wait)
 	end, reusable := c.exchange(req, resp, len(list) == 1, time.Now().Add(seconds(wait)))
-	late := end == Silent || end == Unreadable && !reusable
+	late := end == ResponseTimeout || end == InvalidResponse && !reusable
 	if late {
 		c.giveUp()
 	} else if !reusable {
 		c.Close()
 	}
-	if end == Unusable && len(list) > 1 {
-		end = ListUnusable
+	if end == Rejected && len(list) > 1 {
+		end = BatchRejected
 	}
-	a := All(len(list), end)
-	if a.Late = late; end == Unreadable {
-		a.Raw = c.raw()
+	a := UniformResult(len(list), end)
+	if a.LateResponsePending = late; end == InvalidResponse {
+		a.RawPrefix = c.raw()
 	}
-	if end > Unreadable {
+	if end > InvalidResponse {
 		return a
 	}
 	a.Reusable = reusable
-	a.Wait = number(string(resp.Header.Peek("Retry-After")))
-	a.Share, a.Limit, a.Reported = report(string(resp.Header.Peek("X-Load-Report")))
-	if end == Done && len(list) > 1 {
+	a.RetryAfter = number(string(resp.Header.Peek("Retry-After")))
+	a.LoadShare, a.LoadLimit, a.HasLoadReport = report(string(resp.Header.Peek("X-Load-Report")))
+	if end == Delivered && len(list) > 1 {
 		a.Ends = states(resp.Body(), list)
 	}
 	return a
@@ -95,8 +95,8 @@
 	if len(list) == 1 {
 		req.SetRequestURI("/hook")
 		req.Header.Set("X-Call-Id", list[0].ID)
-		if list[0].Mark != "" {
-			req.Header.Set("Idempotency-Key", list[0].Mark)
+		if list[0].IdempotencyKey != "" {
+			req.Header.Set("Idempotency-Key", list[0].IdempotencyKey)
 		}
 		req.SetBodyRaw(list[0].Body)
 		return
@@ -108,7 +108,7 @@
 	}
 	lines := make([]line, len(list))
 	for i, m := range list {
-		lines[i] = line{m.ID, m.Mark, m.Body}
+		lines[i] = line{m.ID, m.IdempotencyKey, m.Body}
 		if m.Body == nil {
 			lines[i].Body = []byte{}
 		}
@@ -119,7 +119,7 @@
 	req.SetBodyRaw(body)
 }
 
-var stateEnds = map[string]End{"done": Done, "failed": Erred, "busy": TurnedAway, "void": Void, "used_up": Spent}
+var stateEnds = map[string]End{"done": Delivered, "failed": Failed, "busy": Throttled, "void": AlreadySettled, "used_up": AttemptsExhausted}
 
 // states reads how each message of a call ended; one that is not named, or in a way not known, may have run.
 func states(body []byte, list []*message.Message) []End {
@@ -139,7 +139,7 @@
 	for i, m := range list {
 		end, ok := told[m.ID]
 		if !ok {
-			end = Unreadable
+			end = InvalidResponse
 		}
 		ends[i] = end
 	}
--- a/push/conn.go
+++ b/push/conn.go
@@ -81,7 +81,7 @@
 		return nil, dialEnd(err)
 	}
 	t := &tap{Conn: c}
-	return &Conn{addr: addr, net: c, in: bufio.NewReaderSize(t, 4<<10), out: bufio.NewWriterSize(c, 4<<10), tap: t}, Done
+	return &Conn{addr: addr, net: c, in: bufio.NewReaderSize(t, 4<<10), out: bufio.NewWriterSize(c, 4<<10), tap: t}, Delivered
 }
 
 // localErrors are the errors of socket(2) and connect(2) that tell of this machine and not of the endpoint: no descriptor, no
@@ -98,9 +98,9 @@
 	}
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() { // our own deadline, or ETIMEDOUT: the system's
-		return NeverUp
+		return ConnectTimeout
 	}
-	return Refused
+	return ConnectFailed
 }
 
 // Alive tells that the other side has neither closed an idle connection nor written to it.
@@ -134,11 +134,11 @@
 	}
 }
 
-// LastWord closes a connection whose call was given up and gives the wait told in what still came, 0 for none. An answer
+// ReadLateRetryAfter closes a connection whose call was given up and gives the wait told in what still came, 0 for none. An answer
 // may be written just as the call is given up, or be found too late by a process that stood still. It counts for nothing,
 // but a wait in it runs from that moment on, and the next call would break it. It does harm where an endpoint has not
 // seen our end by then, and tells its wait after that.
-func (c *Conn) LastWord() float64 {
+func (c *Conn) ReadLateRetryAfter() float64 {
 	defer c.Close()
 	_ = c.net.SetReadDeadline(time.Now().Add(onItsWay))
 	for {
@@ -157,25 +157,25 @@
 // ran, whatever its head says; alone with one message it is true if its first line reads 200.
 func (c *Conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, alone bool, deadline time.Time) (End, bool) {
 	if c.net.SetDeadline(deadline) != nil {
-		return BrokeEarly, false
+		return WriteFailed, false
 	}
 	if c.tap != nil {
 		c.tap.n = 0
 	}
 	if err := req.Write(c.out); err != nil {
-		return BrokeEarly, false
+		return WriteFailed, false
 	}
 	if err := c.out.Flush(); err != nil {
-		return BrokeEarly, false
+		return WriteFailed, false
 	}
 	if err := c.begins(deadline); err != nil {
 		switch {
 		case c.shut.Load():
-			return CutOff, false
+			return Cancelled, false
 		case timedOut(err):
-			return Silent, false
+			return ResponseTimeout, false
 		}
-		return BrokeLate, false
+		return ConnectionLost, false
 	}
 	err := c.head(resp, deadline)
 	for err == nil && resp.StatusCode() < fasthttp.StatusOK { // on its way
@@ -199,11 +199,11 @@
 	}
 	switch {
 	case alone && done:
-		return Done, false
+		return Delivered, false
 	case c.shut.Load():
-		return CutOff, false
+		return Cancelled, false
 	}
-	return Unreadable, false
+	return InvalidResponse, false
 }
 
 // body reads an answer's body to its end. That of a chunked one is behind its trailer section: cut off before it, an answer
@@ -247,27 +247,27 @@
 func answers(resp *fasthttp.Response) End {
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
-		return Done
+		return Delivered
 	case fasthttp.StatusTooManyRequests:
-		return TurnedAway
+		return Throttled
 	case fasthttp.StatusServiceUnavailable:
 		if len(resp.Header.Peek("X-Over-Slots")) > 0 {
-			return OverSlots
+			return NoFreeSlot
 		}
 		if resp.ConnectionClose() && len(resp.Header.Peek("Retry-After")) == 0 {
-			return Crowded
+			return ConnectionLimit
 		}
-		return TurnedAway
+		return Throttled
 	case fasthttp.StatusGatewayTimeout:
-		return Spent
+		return AttemptsExhausted
 	case fasthttp.StatusGone:
-		return Void
+		return AlreadySettled
 	case fasthttp.StatusInternalServerError:
-		return Erred
+		return Failed
 	case fasthttp.StatusBadRequest, fasthttp.StatusRequestEntityTooLarge:
-		return Unusable
+		return Rejected
 	}
-	return Unreadable
+	return InvalidResponse
 }
 
 // timedOut tells that our own deadline has passed. A connection that the system gave up (ETIMEDOUT) has broken, though the
--- a/push/cuts_test.go
+++ b/push/cuts_test.go
@@ -34,7 +34,7 @@
 }
 
 // answered sends a call with so many messages, to which the text and then the error come.
-func answered(text string, end error, messages int) Answer {
+func answered(text string, end error, messages int) CallResult {
 	s := &scripted{answer: strings.NewReader(text), end: end}
 	c := &Conn{addr: "e1:80", net: s, in: bufio.NewReader(s), out: bufio.NewWriter(&bytes.Buffer{})}
 	var list []*message.Message
@@ -72,16 +72,16 @@
 		for cut := range len(kind.text) + 1 {
 			for _, end := range []error{io.EOF, syscall.ECONNRESET} {
 				whole := cut == len(kind.text) && (!kind.closes || end == io.EOF)
-				want := Unreadable
+				want := InvalidResponse
 				if cut == 0 {
-					want = BrokeLate
+					want = ConnectionLost
 				}
 				batch, single := want, want
 				if whole {
-					batch = Done
+					batch = Delivered
 				}
 				if cut >= first {
-					single = Done
+					single = Delivered
 				}
 				at := fmt.Sprintf("%s, %v after %q", name, end, kind.text[:cut])
 				if a := answered(kind.text[:cut], end, 2); a.Ends[0] != batch || a.Ends[1] != batch || a.Reusable != (whole && !kind.close) {
@@ -102,10 +102,10 @@
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		a := answered(text, io.EOF, 2)
-		if a.Wait < 0 || a.Share < 0 || a.Limit < 0 {
-			t.Fatalf("%q: wait %v, share %v, limit %v", text, a.Wait, a.Share, a.Limit)
+		if a.RetryAfter < 0 || a.LoadShare < 0 || a.LoadLimit < 0 {
+			t.Fatalf("%q: wait %v, share %v, limit %v", text, a.RetryAfter, a.LoadShare, a.LoadLimit)
 		}
-		if a.Ends[0] != Done && a.Ends[1] != Done {
+		if a.Ends[0] != Delivered && a.Ends[1] != Delivered {
 			return
 		}
 		in := bufio.NewReader(strings.NewReader(text))
@@ -127,8 +127,8 @@
 // A connection that the system gives up (ETIMEDOUT, EHOSTUNREACH) broke; it is not the silence that our own deadline ends.
 func TestGivenUpBySystem(t *testing.T) {
 	for _, errno := range []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
-		if a := answered("", errno, 1); a.Ends[0] != BrokeLate || a.Late {
-			t.Errorf("%v before any byte: %v, late %v", errno, a.Ends, a.Late)
+		if a := answered("", errno, 1); a.Ends[0] != ConnectionLost || a.LateResponsePending {
+			t.Errorf("%v before any byte: %v, late %v", errno, a.Ends, a.LateResponsePending)
 		}
 	}
 }
--- a/push/late_test.go
+++ b/push/late_test.go
@@ -24,8 +24,8 @@
 		conn, _ := push.Dial(crossing(text, ended), 1)
 		a := conn.Send([]*message.Message{msg("a")}, 0.03)
 		begun := time.Now()
-		wait := conn.LastWord()
-		fmt.Println(a.Ends, a.Late, wait, time.Since(begun) < time.Second, <-ended)
+		wait := conn.ReadLateRetryAfter()
+		fmt.Println(a.Ends, a.LateResponsePending, wait, time.Since(begun) < time.Second, <-ended)
 	}
 	// Output:
 	// [silent] true 2.5 true true
--- a/push/push_test.go
+++ b/push/push_test.go
@@ -53,7 +53,7 @@
 }
 
 func msg(id string) *message.Message {
-	m := &message.Message{Mark: "k" + id, Body: []byte("hello " + id)}
+	m := &message.Message{IdempotencyKey: "k" + id, Body: []byte("hello " + id)}
 	m.ID = id
 	return m
 }
@@ -65,7 +65,7 @@
 		return
 	}
 	a := conn.Send(list, wait)
-	fmt.Println(a.Ends, a.Wait, a.Reported, a.Share, a.Limit, a.Reusable)
+	fmt.Println(a.Ends, a.RetryAfter, a.HasLoadReport, a.LoadShare, a.LoadLimit, a.Reusable)
 	conn.Close()
 }
 
--- a/seglog/seglog.go
+++ b/seglog/seglog.go
@@ -20,20 +20,20 @@
 	// Version of the format; a segment of another is not read.
 	Version = 1
 
-	magic  = "ODLG"
-	Head   = 24 // bytes: magic, version, number, the number of the last record before it, checksum
-	frame  = 16 // a record's length, checksum and number
-	prefix = "segment-"
+	magic      = "ODLG"
+	HeaderSize = 24 // bytes: magic, version, number, the number of the last record before it, checksum
+	frame      = 16 // a record's length, checksum and number
+	prefix     = "segment-"
 )
 
-// Overhead is what a record takes beyond its own bytes.
-const Overhead = frame
+// RecordOverhead is what a record takes beyond its own bytes.
+const RecordOverhead = frame
 
 // The errors.
 var (
-	ErrFull    = errors.New("no free segment")
-	ErrLarge   = errors.New("the record is larger than a segment")
-	ErrVersion = errors.New("the segment's format is of another version")
+	ErrFull     = errors.New("no free segment")
+	ErrTooLarge = errors.New("the record is larger than a segment")
+	ErrVersion  = errors.New("the segment's format is of another version")
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
@@ -66,9 +66,9 @@
 
 // Damage is a part of a segment that cannot be read, with good records behind it or in a later segment.
 type Damage struct {
-	File  string `json:"file"`
-	At    int    `json:"at"`
-	Bytes int    `json:"bytes"`
+	File   string `json:"file"`
+	Offset int    `json:"at"`
+	Bytes  int    `json:"bytes"`
 }
 
 // Report tells what opening found.
@@ -82,16 +82,16 @@
 
 // Options size a log.
 type Options struct {
-	Segment int  // bytes of each file
-	Files   int  // at most
-	Sync    bool // records are on the disk when Append returns
-	Read    bool // only read: files stay as they are, and nothing is appended
+	SegmentBytes int  // bytes of each file
+	MaxFiles     int  // at most
+	Sync         bool // records are on the disk when Append returns
+	ReadOnly     bool // only read: files stay as they are, and nothing is appended
 }
 
 // Open reads the segments, oldest first, and gives each record to each with its segment's number; damaged is called where
 // part of a segment could not be read, before what comes after it. A record is its caller's during the call only.
 func Open(folder disk.Folder, o Options, each func(segment int, record []byte), damaged func(Damage)) (*Log, Report, error) {
-	l := &Log{folder: folder, size: o.Segment, most: o.Files, sync: o.Sync}
+	l := &Log{folder: folder, size: o.SegmentBytes, most: o.MaxFiles, sync: o.Sync}
 	report, err := l.open(o, each, damaged)
 	if err != nil {
 		_ = l.Close() // whoever tries again opens them again
@@ -128,7 +128,7 @@
 			return Report{}, fmt.Errorf("%s: %w", name, err)
 		case s.number > 0:
 			l.used = append(l.used, s)
-		case s.size == l.size || o.Read:
+		case s.size == l.size || o.ReadOnly:
 			l.free = append(l.free, s)
 		default: // never made whole, or of another size
 			l.remove(s)
@@ -154,14 +154,14 @@
 
 // head reads what a file is: a segment in use, or free.
 func (l *Log) head(s *segment) error {
-	b := make([]byte, Head)
-	if n, err := s.file.ReadAt(b, 0); n < Head {
+	b := make([]byte, HeaderSize)
+	if n, err := s.file.ReadAt(b, 0); n < HeaderSize {
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		return nil // made and never filled: it is free
 	}
-	if string(b[:4]) != magic || crc32.Checksum(b[:Head-4], table) != binary.LittleEndian.Uint32(b[Head-4:]) {
+	if string(b[:4]) != magic || crc32.Checksum(b[:HeaderSize-4], table) != binary.LittleEndian.Uint32(b[HeaderSize-4:]) {
 		return nil // never used, or being taken into use when the process ended: nothing was in it yet
 	}
 	if b[4] != Version {
@@ -193,7 +193,7 @@
 		return err
 	}
 	l.seq = max(l.seq, base)
-	at := Head
+	at := HeaderSize
 	for at < len(b) {
 		n, seq := whole(b[at:], l.seq)
 		if n > 0 && seq > next {
@@ -250,7 +250,7 @@
 }
 
 // Fits tells whether a record is no larger than a segment.
-func (l *Log) Fits(record int) bool { return Head+frame+record <= l.size }
+func (l *Log) Fits(record int) bool { return HeaderSize+frame+record <= l.size }
 
 // Append writes records in one go, into one segment, and tells its number. When it fails none of them counts.
 func (l *Log) Append(records ...[]byte) (int, error) {
@@ -265,10 +265,10 @@
 		binary.LittleEndian.PutUint64(l.buf[at+8:], seq)
 		binary.LittleEndian.PutUint32(l.buf[at+4:], crc32.Checksum(l.buf[at+8:], table))
 	}
-	if Head+len(l.buf) > l.size {
-		return 0, ErrLarge
+	if HeaderSize+len(l.buf) > l.size {
+		return 0, ErrTooLarge
 	}
-	if err := l.Settle(); err != nil {
+	if err := l.DiscardFailedWrite(); err != nil {
 		return 0, err
 	}
 	s := l.active()
@@ -314,12 +314,12 @@
 		return
 	}
 	s.spoilt, l.doubt = true, true
-	_ = l.Settle()
+	_ = l.DiscardFailedWrite()
 }
 
-// Settle makes sure that nobody who opens the log reads what a failed write left. It does nothing where that is so already;
+// DiscardFailedWrite makes sure that nobody who opens the log reads what a failed write left. It does nothing where that is so already;
 // an error tells that it is not.
-func (l *Log) Settle() error {
+func (l *Log) DiscardFailedWrite() error {
 	if !l.doubt {
 		return nil
 	}
@@ -352,17 +352,17 @@
 		}
 	}
 	s := l.free[0]
-	b := make([]byte, Head)
+	b := make([]byte, HeaderSize)
 	copy(b, magic)
 	b[4] = Version
 	binary.LittleEndian.PutUint32(b[8:], uint32(l.number+1))
 	binary.LittleEndian.PutUint64(b[12:], l.good)
-	binary.LittleEndian.PutUint32(b[Head-4:], crc32.Checksum(b[:Head-4], table))
+	binary.LittleEndian.PutUint32(b[HeaderSize-4:], crc32.Checksum(b[:HeaderSize-4], table))
 	if n, err := s.file.WriteAt(b, 0); n < len(b) || err != nil {
 		return nil, fmt.Errorf("%s: %w", s.name, orShort(err))
 	}
 	l.number++
-	s.number, s.end, s.spoilt = l.number, Head, false
+	s.number, s.end, s.spoilt = l.number, HeaderSize, false
 	l.free, l.used = l.free[1:], append(l.used, s)
 	return s, nil
 }
@@ -394,14 +394,14 @@
 	return nil
 }
 
-// Release gives the oldest segment's file back to be used again. Its caller has moved all it needs; with Sync that is on
+// ReleaseOldest gives the oldest segment's file back to be used again. Its caller has moved all it needs; with Sync that is on
 // the disk. The segment written to is never released.
-func (l *Log) Release() error {
+func (l *Log) ReleaseOldest() error {
 	if len(l.used) < 2 {
 		return nil
 	}
 	s := l.used[0]
-	if n, err := s.file.WriteAt(make([]byte, Head), 0); n < Head || err != nil {
+	if n, err := s.file.WriteAt(make([]byte, HeaderSize), 0); n < HeaderSize || err != nil {
 		return fmt.Errorf("%s: %w", s.name, orShort(err))
 	}
 	s.number, s.end = 0, 0
@@ -419,36 +419,36 @@
 	_ = l.folder.Remove(s.name)
 }
 
-// Oldest and Newest are the numbers of segments in use, 0 where there is none.
-func (l *Log) Oldest() int {
+// OldestSegment and Newest are the numbers of segments in use, 0 where there is none.
+func (l *Log) OldestSegment() int {
 	if len(l.used) == 0 {
 		return 0
 	}
 	return l.used[0].number
 }
 
-// Newest is the number of the segment written to.
-func (l *Log) Newest() int {
+// NewestSegment is the number of the segment written to.
+func (l *Log) NewestSegment() int {
 	if s := l.active(); s != nil {
 		return s.number
 	}
 	return 0
 }
 
-// Last is the number of the last record, failed writes included. It only grows, also from one process to the next.
-func (l *Log) Last() uint64 { return l.seq }
+// LastSeq is the number of the last record, failed writes included. It only grows, also from one process to the next.
+func (l *Log) LastSeq() uint64 { return l.seq }
 
-// Used counts the files that hold records.
-func (l *Log) Used() int { return len(l.used) }
+// UsedFiles counts the files that hold records.
+func (l *Log) UsedFiles() int { return len(l.used) }
 
-// Free counts the files ready to be used.
-func (l *Log) Free() int { return len(l.free) }
+// FreeFiles counts the files ready to be used.
+func (l *Log) FreeFiles() int { return len(l.free) }
 
-// Most is how many files there may be.
-func (l *Log) Most() int { return l.most }
+// MaxFiles is how many files there may be.
+func (l *Log) MaxFiles() int { return l.most }
 
-// Trim removes free files beyond so many.
-func (l *Log) Trim(keep int) {
+// TrimFree removes free files beyond so many.
+func (l *Log) TrimFree(keep int) {
 	for len(l.free) > keep {
 		l.remove(l.free[0])
 		l.free = l.free[1:]
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -44,16 +44,16 @@
 	return Line{Number: r.line, Name: fields[0], Values: fields[1:]}, nil
 }
 
-// Want checks that the line has n values.
-func (l Line) Want(n int) error {
+// RequireValues checks that the line has n values.
+func (l Line) RequireValues(n int) error {
 	if len(l.Values) != n {
 		return fmt.Errorf("line %d: %s has %d values, not %d", l.Number, l.Name, len(l.Values), n)
 	}
 	return nil
 }
 
-// Bad is the error for a field that cannot be read.
-func (l Line) Bad(field, value string) error {
+// FieldError is the error for a field that cannot be read.
+func (l Line) FieldError(field, value string) error {
 	return fmt.Errorf("line %d: %s: field %s cannot be %q", l.Number, l.Name, field, value)
 }
 
@@ -62,7 +62,7 @@
 	if v := l.Values[i]; v != "" && v != Absent {
 		return v, nil
 	}
-	return "", l.Bad(field, l.Values[i])
+	return "", l.FieldError(field, l.Values[i])
 }
 
 // Optional returns a value, "" where it is absent.
@@ -80,7 +80,7 @@
 	}
 	v, err := strconv.ParseFloat(l.Values[i], 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		return 0, l.Bad(field, l.Values[i])
+		return 0, l.FieldError(field, l.Values[i])
 	}
 	return v, nil
 }
@@ -92,7 +92,7 @@
 	}
 	v, err := strconv.ParseInt(l.Values[i], 10, 64)
 	if err != nil {
-		return 0, l.Bad(field, l.Values[i])
+		return 0, l.FieldError(field, l.Values[i])
 	}
 	return v, nil
 }
@@ -105,11 +105,11 @@
 	case "0":
 		return false, nil
 	}
-	return false, l.Bad(field, l.Values[i])
+	return false, l.FieldError(field, l.Values[i])
 }
 
-// Report reads a load report: name:value pairs set apart by commas; absent is no report.
-func (l Line) Report(i int, field string) (map[string]float64, error) {
+// LoadReport reads a load report: name:value pairs set apart by commas; absent is no report.
+func (l Line) LoadReport(i int, field string) (map[string]float64, error) {
 	if l.Values[i] == Absent {
 		return nil, nil
 	}
@@ -118,7 +118,7 @@
 		name, text, ok := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
 		if !ok || name == "" || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			return nil, l.Bad(field, l.Values[i])
+			return nil, l.FieldError(field, l.Values[i])
 		}
 		report[name] = v
 	}
