--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -22,13 +22,13 @@
 				dir := directory.New()
 				dir.Replace(benchList(n, dests))
 				m := New(1, dir, []Topic{{Name: "t", Repeat: Collapsible, DedupWindow: 5, DedupScope: "all", Objective: 2, TTL: 1e6, Benefit: 1}}, Capacity{MaxCalls: 0, MaxHeld: 1000}, Routes{}, Recovery{InitialCapacity: .2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 300}, PushPolicy{MaxPushes: 8, Tick: .005}, TenantQuotas{}, false)
-				m.slots.MaxCalls = 1000
+				m.capacity.MaxCalls = 1000
 				for i := range 50 {
 					m.Place(1000, Notification{ID: fmt.Sprint(i), Topic: "t", Dest: fmt.Sprint(i % 10), TimeLeft: 1e6, Restored: true, RanAt: 999, RanTo: "s-0"})
 				}
 				for _, e := range benchList(n, dests) {
-					m.gate(e).stop = 1e9
-					m.end(e.ID).aside = 1e9
+					m.throttle(e).blockedUntil = 1e9
+					m.endpoint(e.ID).setAsideUntil = 1e9
 				}
 				b.ResetTimer()
 				for range b.N {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,18 +1,22 @@
-// Package decide holds all decisions of a dispatcher; types.go holds the plain values it takes and gives.
+// Package decide makes all decisions of a dispatcher. types.go holds the values that it takes and returns.
 //
-// It is asked through three calls. Place(now, ntf) takes a new notification, or places the one whose turn has
-// come: push it, not yet, or never. After(now, outcome) tells what a push's end asks for. Wait(now) gives the
-// seconds until Place is to be asked next, and for whom: 0 means now; no id means the module's own errands.
-// The ordinary path of a notification is Place, top to bottom; turns and allowances are DESIGN's.
+// The caller uses three methods of Scheduler. Place(now, ntf) takes a new notification, or decides on one whose turn has
+// come: push it, hold it, or give it up. HandleOutcome(now, outcome) records how a push ended and decides what becomes of
+// its notification. NextTurn(now) returns the seconds until Place is to be called next (0: now) and the notification to
+// call it for; an empty ID stands for maintenance, such as closing idle connections.
+// Place, read from top to bottom, is the ordinary path of a notification. Deficit round robin and allowances are specified
+// in DESIGN.
 //
-// Beside the design stand seven mechanisms:
-//  1. silence: an endpoint unusually silent, or that breaks pushes, is set aside: a fixed time, a random part
-//  2. return budget: a destination that failed gets this dispatcher's part of what a cold one can take
-//  3. idle connections: many keep theirs open for less long; after a break once-only goes on new ones
-//  4. patience: time-outs follow the answer times last seen
-//  5. winnable: what cannot be delivered any more is answered at once; a full queue keeps what is worth most
-//  6. pace: after refusals a destination is sent what it lately took, in time and at once, then slowly more
-//  7. topic types: an endpoint that failed one is shunned for it alone
+// Seven mechanisms supplement that design:
+//  1. Outlier detection: an endpoint that is unusually silent, or that fails pushes, is set aside for a fixed time plus jitter.
+//  2. Recovery budget: a destination that failed gets this dispatcher's share of what a cold destination can take.
+//  3. Idle connections: where connections are scarce they are kept open for less time; after a connection failed,
+//     once-only notifications are sent on new ones.
+//  4. Adaptive timeouts: the timeout of a push follows recent latencies.
+//  5. Admission control: a notification that can no longer be delivered gets its final answer at once, and a full queue
+//     keeps the notifications that are worth most.
+//  6. Pacing: after refusals a destination is sent what it recently accepted, in rate and in concurrency, then slowly more.
+//  7. Per-topic avoidance: an endpoint that failed one topic is avoided for that topic only.
 package decide
 
 import (
@@ -24,222 +28,230 @@
 )
 
 const (
-	quantum    = 1.0  // deficit earned on a visit, times the destination's weight
-	reserve    = 0.1  // share of a limit that low-benefit topic types leave alone, and of the room lines of keys
-	fullStop   = 0.5  // stop after a refusal that tells no wait
-	forget     = 1.0  // the allowance is forgotten after so long with no call out
-	asideFixed = 1.0  // an endpoint set aside returns after this
-	asideRand  = 0.5  // and a random part of this
-	firstGap   = 0.5  // the gap taken as seen before there are any
-	kept       = 16   // samples kept of each kind
-	many       = 256  // pushes kept
-	recent     = 8    // outcomes that health is read from
-	rider      = 0.25 // of a push: what each further notification in a call weighs
-	patience   = 8.0  // times the mean answer time a push is waited for
-	mostWait   = 2.0  // one objective at least, and so many at most
-	handIn     = 0.1  // a first try has all its TTL left but this
-	shareSpan  = 5.0  // what a tenant asks is read over this
-	idleKept   = 5.0  // idle connections are kept so long at most where they are not scarce
-	paceSpan   = 0.5  // a pace is kept over each such span
-	scatter    = 1.2  // times the span of a fall: over so much refused pushes of many dispatchers come back
-	wider      = 4.0  // and over so many times that where much of the limit was left
-	takenSpan  = 2.0  // what a destination takes is read over this span before a refusal
-	climb      = 0.03 // the pace grows by this part a second
-	easing     = 0.9  // and starts at this part of what was taken
-	collapsing = 0.5  // where refusals are free it is kept only once so many of the last pushes were refused
+	quantum              = 1.0  // deficit granted per visit, times the weight of the destination
+	reservedShare        = 0.1  // share of a limit that low-benefit topics leave free, and of the room that notifications waiting for a key leave
+	defaultRefusalWait   = 0.5  // seconds without pushes after a refusal that told no wait
+	allowanceTTL         = 1.0  // seconds without a call in flight after which an allowance is discarded
+	setAsideBase         = 1.0  // seconds for which an endpoint is set aside at least
+	setAsideJitter       = 0.5  // seconds, the upper bound of the random part added to setAsideBase
+	defaultGap           = 0.5  // seconds, the gap or latency assumed before there are samples
+	maxSamples           = 16   // samples kept in each series of latencies, gaps and usage
+	maxPushSamples       = 256  // pushes and arrivals kept in each series
+	healthSamples        = 8    // latest outcomes from which the health of a destination is judged
+	sharedPushWeight     = 0.25 // weight of each further notification in a call, in pushes
+	timeoutLatencies     = 8.0  // timeout of a push, in mean latencies
+	maxTimeoutObjectives = 2.0  // upper bound of a timeout, in objectives; one objective is the lower bound
+	firstTryMargin       = 0.1  // seconds by which the time left of a first try may be less than its TTL
+	quotaSpan            = 5.0  // seconds over which a tenant's use of its quota is measured
+	defaultIdleTimeout   = 5.0  // seconds for which idle connections are kept at most while they are not scarce
+	paceWindow           = 0.5  // seconds in each of which pushes keep to the pace
+	resendSpread         = 1.2  // refused pushes of all dispatchers are spread over this many overload spans
+	shutSpreadFactor     = 4.0  // factor on resendSpread after a refusal with much of the limit left
+	acceptedWindow       = 2.0  // seconds before a refusal over which accepted pushes are counted
+	paceGrowth           = 0.03 // growth of the pace per second, as a share of its start; maxCalls grows by it in maxCalls deliveries
+	paceStart            = 0.9  // start of the pace, and of maxCalls, as a share of what was accepted
+	freeRefusalThreshold = 0.5  // share of refused pushes from which a destination is paced where refusals cost nothing
 )
 
-// New returns a module with no notifications, started from the wire's seed.
-func New(seed uint64, dir *directory.Directory, topics []Topic, slots Capacity, routes Routes, returns Recovery,
-	pushes PushPolicy, shares TenantQuotas, ask bool) *Scheduler {
-	m := &Scheduler{rng: pcg{state: seed}, dir: dir, topics: map[string]Topic{}, slots: slots, routes: routes,
-		returns: returns, pushes: pushes, shares: shares, ask: ask, held: map[string]*held{},
-		keys: map[string][]*held{}, dests: map[string]*dest{}, gates: map[gateID]*gate{},
-		ends: map[string]*endpoint{}, asked: map[string][]float64{}, scarce: map[string]float64{}}
-	if !ask {
-		m.nextAsk = never
+// New returns a Scheduler that holds no notifications. The seed starts its random numbers; listOnRequest says that the
+// list of endpoints is sent only when it is asked for.
+func New(seed uint64, dir *directory.Directory, topics []Topic, capacity Capacity, routes Routes, recovery Recovery,
+	policy PushPolicy, quotas TenantQuotas, listOnRequest bool) *Scheduler {
+	s := &Scheduler{rng: pcg{state: seed}, dir: dir, topics: map[string]Topic{}, capacity: capacity, routes: routes,
+		recovery: recovery, policy: policy, quotas: quotas, listOnRequest: listOnRequest, held: map[string]*heldNotification{},
+		keys: map[string][]*heldNotification{}, destinations: map[string]*destination{}, throttles: map[throttleID]*throttle{},
+		endpoints: map[string]*endpoint{}, tenantArrivals: map[string][]float64{}, connectionsScarceUntil: map[string]float64{}}
+	if !listOnRequest {
+		s.nextListRequest = never
 	}
 	for _, t := range topics {
-		m.topics[t.Name] = t
-		m.top = max(m.top, t.Benefit)
+		s.topics[t.Name] = t
+		s.maxBenefit = max(s.maxBenefit, t.Benefit)
 	}
-	return m
+	return s
 }
 
-// Place takes a new notification into its destination's queue, or places the one whose turn Wait named.
-func (m *Scheduler) Place(now float64, ntf Notification) Decision {
+// Place takes a new notification into the queue of its destination, or decides on one that NextTurn named. With an empty
+// notification it returns the maintenance that is due.
+func (s *Scheduler) Place(now float64, ntf Notification) Decision {
 	if ntf.ID == "" {
-		if m.nextAsk <= now {
-			m.heard, m.nextAsk = m.dir.Revision, never
+		if s.nextListRequest <= now {
+			s.updatesAtRequest, s.nextListRequest = s.dir.Revision, never
 			return Decision{Action: WatchList}
 		}
-		i := slices.IndexFunc(m.idle, func(i idle) bool { return m.closes(now, i) <= now })
-		end := m.idle[i].end
-		m.idle = slices.Delete(m.idle, i, i+1)
-		return Decision{Action: CloseIdle, Endpoint: end.id}
+		i := slices.IndexFunc(s.idleEndpoints, func(i idleEndpoint) bool { return s.idleCloseAt(now, i) <= now })
+		ep := s.idleEndpoints[i].endpoint
+		s.idleEndpoints = slices.Delete(s.idleEndpoints, i, i+1)
+		return Decision{Action: CloseIdle, Endpoint: ep.id}
 	}
-	h, known := m.held[ntf.ID]
-	d := m.dest(ntf.Dest)
+	h, known := s.held[ntf.ID]
+	d := s.destination(ntf.Dest)
 	if !known {
-		h = &held{Notification: ntf, topic: m.topics[ntf.Topic], until: now + ntf.TimeLeft, mayRun: never}
-		first := ntf.TimeLeft > h.topic.TTL-handIn && !ntf.Restored
-		h.pushes, h.beyond = ntf.Pushes, first && m.beyond(now, ntf.Tenant)
-		room := (1-reserve)*float64(m.slots.MaxHeld) - float64(len(m.held))
-		waits := room > 0 && h.ordered() && len(m.keys[h.Key]) > 0 // its turn: it needs no more than room
-		if !ntf.Restored && (!m.dir.KnownDest(d.id) || !waits && len(d.queue) >= m.bound(h) && !m.displace(now, d, h)) {
-			return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: m.retryIn(now, d)}
+		h = &heldNotification{Notification: ntf, topic: s.topics[ntf.Topic], expiresAt: now + ntf.TimeLeft, mayHaveRunAt: never}
+		firstTry := ntf.TimeLeft > h.topic.TTL-firstTryMargin && !ntf.Restored
+		h.pushes, h.overQuota = ntf.Pushes, firstTry && s.overQuota(now, ntf.Tenant)
+		freeRoom := (1-reservedShare)*float64(s.capacity.MaxHeld) - float64(len(s.held))
+		// A notification that waits for its key needs room, but is not limited by the queue bound.
+		queuesBehindKey := freeRoom > 0 && h.ordered() && len(s.keys[h.Key]) > 0
+		if !ntf.Restored && (!s.dir.KnownDest(d.id) || !queuesBehindKey && len(d.queue) >= s.queueBound(h) && !s.displace(now, d, h)) {
+			return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: s.retryIn(now, d)}
 		}
 		if ntf.Restored {
-			m.spread(now, d, h)
+			s.staggerRestored(now, d, h)
 		}
 		if ntf.LastPushFailed {
-			m.slowRestart(now, ntf)
+			s.slowStartAfterRestart(now, ntf)
 		}
-		if ntf.RanAt > 0 { // before a restart: it may still run
-			h.mayRun, h.zone, h.rest = ntf.RanAt, cmp.Or(ntf.RanZone, m.zone(ntf.Dest, ntf.RanTo)), now+m.pushes.KeyCooldown
+		if ntf.RanAt > 0 { // sent before a restart: it may still run
+			h.mayHaveRunAt, h.mayHaveRunZone, h.keyBlockedUntil = ntf.RanAt,
+				cmp.Or(ntf.RanZone, s.listedZone(ntf.Dest, ntf.RanTo)), now+s.policy.KeyCooldown
 		}
-		m.held[h.ID] = h
-		if first {
-			d.came = last(d.came, now, many)
+		s.held[h.ID] = h
+		if firstTry {
+			d.arrivals = appendLast(d.arrivals, now, maxPushSamples)
 		}
 		if h.ordered() {
-			m.keys[h.Key] = append(m.keys[h.Key], h)
+			s.keys[h.Key] = append(s.keys[h.Key], h)
 		}
-		m.taken, m.worths = m.taken+1, m.worths+h.topic.Benefit
-		h.order = m.taken
-		if h.over, h.ending = ntf.NoticePending, ntf.NoticePending; !h.over {
-			m.enqueue(d, h)
+		s.takenCount, s.benefitSum = s.takenCount+1, s.benefitSum+h.topic.Benefit
+		h.sequence = s.takenCount
+		if h.finished, h.noticePending = ntf.NoticePending, ntf.NoticePending; !h.finished {
+			s.enqueue(d, h)
 		}
 		return Decision{}
 	}
-	if h.over || h.call != nil {
+	if h.finished || h.call != nil {
 		return Decision{}
 	}
-	if m.hopeless(now, d, h) {
-		return m.giveUp(now, d, h)
+	if s.cannotDeliver(now, d, h) {
+		return s.giveUp(now, d, h)
 	}
-	e, _ := m.admit(now, d, h)
-	if e == nil || m.keyFree(now, h) > now {
+	e, _ := s.selectEndpoint(now, d, h)
+	if e == nil || s.keyFreeAt(now, h) > now {
 		return Decision{}
 	}
-	g, end := m.gate(*e), m.end(e.ID)
-	end.kind, d.deficit = e.Kind, d.deficit-1
-	m.leave(d, h)
-	weight := rider
-	if c := m.joinable(now, *e); c != nil {
+	t, ep := s.throttle(*e), s.endpoint(e.ID)
+	ep.kind, d.deficit = e.Kind, d.deficit-1
+	s.dequeue(d, h)
+	pushWeight := sharedPushWeight
+	if c := s.joinableCall(now, *e); c != nil {
 		c.size++
-		c.riders++
+		c.pending++
 		h.call = c
 	} else {
-		h.call = &call{end: end, gate: g, at: now, size: 1, riders: 1}
-		end.calls = append(end.calls, h.call)
-		if end.called > 0 {
-			end.apart = last(end.apart, now-end.called, kept)
-		}
-		end.called = now
-		g.out++
-		m.out++
-		g.allowance--
-		weight = 1
-	}
-	g.sent = last(g.sent, mark{now, weight}, many)
-	g.lastTrial, g.jitter = now, 0.5+m.rng.float()
-	h.pushes, h.lastSent, h.lastZone = h.pushes+1, now, e.Zone
-	// A TTL counts from when its client sent it, known here later: an answer in its last tick may be late.
-	wait, counts := m.patience(g, end, h), max(0, h.until-m.pushes.Tick-now)
-	h.hurried = counts < wait
-	return Decision{Action: Push, NotificationID: h.ID, Endpoint: e.ID, Timeout: min(wait, counts), AnswerValidFor: counts,
-		StartWithin: m.knownUntil(h) - now, FirstRun: h.first(),
-		NewConnection: h.topic.Repeat == OnceOnly && m.scarce[e.Kind] > now} // a kept connection may break under it
-}
-
-// HandleOutcome takes in how a push ended and tells what becomes of its notification.
-func (m *Scheduler) HandleOutcome(now float64, o Outcome) Decision {
-	h := m.held[o.NotificationID]
-	if e, ok := m.dir.Find(o.Dest, o.Endpoint); ok { // a wait that was told after its push had ended
-		g := m.gate(e)
-		g.stop = max(g.stop, now+o.Wait)
+		h.call = &call{endpoint: ep, throttle: t, startedAt: now, size: 1, pending: 1}
+		ep.calls = append(ep.calls, h.call)
+		if ep.lastCallStart > 0 {
+			ep.callGaps = appendLast(ep.callGaps, now-ep.lastCallStart, maxSamples)
+		}
+		ep.lastCallStart = now
+		t.inFlight++
+		s.callsInFlight++
+		t.allowance--
+		pushWeight = 1
+	}
+	t.sentPushes = appendLast(t.sentPushes, sample{now, pushWeight}, maxPushSamples)
+	t.lastTrial, t.jitter = now, 0.5+s.rng.float()
+	h.pushes, h.lastSentAt, h.lastZone = h.pushes+1, now, e.Zone
+	// The client counts the TTL from when it sent the notification, which is earlier than its arrival here. An answer in
+	// the last tick may therefore be late.
+	timeout, validFor := s.pushTimeout(t, ep, h), max(0, h.expiresAt-s.policy.Tick-now)
+	h.timeoutCut = validFor < timeout
+	// Where connections are scarce an endpoint may close a kept one during the push, so once-only notifications use a new one.
+	return Decision{Action: Push, NotificationID: h.ID, Endpoint: e.ID, Timeout: min(timeout, validFor), AnswerValidFor: validFor,
+		StartWithin: s.dedupUntil(h) - now, FirstRun: h.firstRun(),
+		NewConnection: h.topic.Repeat == OnceOnly && s.connectionsScarceUntil[e.Kind] > now}
+}
+
+// HandleOutcome records how a push ended and decides what becomes of its notification.
+func (s *Scheduler) HandleOutcome(now float64, o Outcome) Decision {
+	h := s.held[o.NotificationID]
+	if e, ok := s.dir.Find(o.Dest, o.Endpoint); ok { // a wait that was told after the push had ended
+		t := s.throttle(e)
+		t.blockedUntil = max(t.blockedUntil, now+o.Wait)
 	}
 	if h == nil {
 		return Decision{}
 	}
-	d := m.dest(h.Dest)
+	d := s.destination(h.Dest)
 	if o.Result == Withdrawn {
-		h.over, h.ending = true, false
-		m.leave(d, h)
-		m.settle(now, h)
+		h.finished, h.noticePending = true, false
+		s.dequeue(d, h)
+		s.release(now, h)
 		return Decision{}
 	}
 	c := h.call
 	h.call = nil
 	if c != nil {
-		if o.Wait > 0 { // it binds with whatever answer it stands
-			c.gate.stop = max(c.gate.stop, now+o.Wait)
-		}
-		if c.riders--; c.riders == 0 {
-			c.end.calls = slices.DeleteFunc(c.end.calls, func(x *call) bool { return x == c })
-			m.out--
-			c.end.idle = now
-			m.idle = append(m.idle, idle{c.end, now})
-			if c.gate.out--; c.gate.out == 0 {
-				c.gate.idle = now
+		if o.Wait > 0 { // a wait applies whatever the rest of the answer says
+			c.throttle.blockedUntil = max(c.throttle.blockedUntil, now+o.Wait)
+		}
+		if c.pending--; c.pending == 0 {
+			c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(x *call) bool { return x == c })
+			s.callsInFlight--
+			c.endpoint.idleSince = now
+			s.idleEndpoints = append(s.idleEndpoints, idleEndpoint{c.endpoint, now})
+			if c.throttle.inFlight--; c.throttle.inFlight == 0 {
+				c.throttle.idleSince = now
 			}
 		}
 		if o.Result != NotAttempted {
-			m.learn(now, c, h, o)
+			s.recordOutcome(now, c, h, o)
 		} else if o.Unsent {
 			h.pushes--
 		} else if o.NoMorePushes {
-			h.pushes = m.pushes.MaxPushes
+			h.pushes = s.policy.MaxPushes
 		}
 	}
 	switch o.Result {
 	case Failed, TimedOut, Reset, Cancelled:
-		if h.mayRun == never {
-			h.mayRun, h.zone = h.lastSent, h.lastZone
+		if h.mayHaveRunAt == never {
+			h.mayHaveRunAt, h.mayHaveRunZone = h.lastSentAt, h.lastZone
 		}
 		if o.Result != Failed {
-			h.rest = now + m.pushes.KeyCooldown
+			h.keyBlockedUntil = now + s.policy.KeyCooldown
 		}
 	}
-	if h.over = h.over || o.Final; h.over {
-		m.settle(now, h)
+	if h.finished = h.finished || o.Final; h.finished {
+		s.release(now, h)
 		return Decision{}
 	}
-	if m.hopeless(now, d, h) {
-		return m.giveUp(now, d, h)
+	if s.cannotDeliver(now, d, h) {
+		return s.giveUp(now, d, h)
 	}
-	m.enqueue(d, h)
+	s.enqueue(d, h)
 	return Decision{}
 }
 
-// NextTurn gives the seconds until Place is to be asked, and for whom; 0 asks for it now.
-func (m *Scheduler) NextTurn(now float64) (float64, string) {
-	m.sweep(now)
-	next := m.errandAt(now)
+// NextTurn returns the seconds until Place is to be called, and the ID of the notification to call it for. 0 means now;
+// an empty ID means maintenance.
+func (s *Scheduler) NextTurn(now float64) (float64, string) {
+	s.evictUnused(now)
+	next := s.nextMaintenance(now)
 	if next <= now {
 		return 0, ""
 	}
-	if id := m.Undeliverable(now); id != "" {
+	if id := s.Undeliverable(now); id != "" {
 		return 0, id
 	}
-	for _, d := range m.round {
+	for _, d := range s.round {
 		for _, h := range d.queue {
-			next = min(next, m.lastStart(h))
+			next = min(next, s.latestStart(h))
 		}
 	}
-	h, when := m.turn(now)
+	h, when := s.nextInRound(now)
 	if h != nil {
 		return 0, h.ID
 	}
 	return min(next, when) - now, ""
 }
 
-// Undeliverable names a notification in a queue that cannot be delivered any more, "" for none: Place gives its final answer.
-func (m *Scheduler) Undeliverable(now float64) string {
-	for _, d := range m.round {
+// Undeliverable returns the ID of a queued notification that can no longer be delivered, or "". Place gives that
+// notification its final answer.
+func (s *Scheduler) Undeliverable(now float64) string {
+	for _, d := range s.round {
 		for _, h := range d.queue {
-			if m.hopeless(now, d, h) {
+			if s.cannotDeliver(now, d, h) {
 				return h.ID
 			}
 		}
@@ -247,26 +259,27 @@
 	return ""
 }
 
-// turn moves the pointer to the destination whose head may leave; where none may, it tells when one could.
-// With no slot free nobody loses a turn, and only a shared call can still be filled.
-func (m *Scheduler) turn(now float64) (*held, float64) {
+// nextInRound advances the round to a destination with a notification that may start, and returns that notification. If
+// there is none it returns nil and the time at which one may start. With all slots taken the round does not advance, so
+// that no destination loses its turn; only a shared call of the current destination can still be filled.
+func (s *Scheduler) nextInRound(now float64) (*heldNotification, float64) {
 	next := never
-	if m.out >= m.slots.MaxCalls {
-		if m.pointer < len(m.round) && m.granted && m.round[m.pointer].deficit >= 1 {
-			return m.head(now, m.round[m.pointer])
+	if s.callsInFlight >= s.capacity.MaxCalls {
+		if s.roundIndex < len(s.round) && s.quantumGranted && s.round[s.roundIndex].deficit >= 1 {
+			return s.firstReady(now, s.round[s.roundIndex])
 		}
 		return nil, never
 	}
-	for blocked := 0; blocked < len(m.round); {
-		if m.pointer >= len(m.round) {
-			m.pointer = 0
+	for blocked := 0; blocked < len(s.round); {
+		if s.roundIndex >= len(s.round) {
+			s.roundIndex = 0
 		}
-		d := m.round[m.pointer]
-		h, when := m.head(now, d)
+		d := s.round[s.roundIndex]
+		h, when := s.firstReady(now, d)
 		if h != nil {
-			if !m.granted {
-				d.deficit += quantum * m.weight(d, h)
-				m.granted = true
+			if !s.quantumGranted {
+				d.deficit += quantum * s.weight(d, h)
+				s.quantumGranted = true
 			}
 			if d.deficit >= 1 {
 				return h, now
@@ -275,400 +288,422 @@
 			next = min(next, when)
 			blocked++
 		}
-		m.pointer++
-		m.granted = false
+		s.roundIndex++
+		s.quantumGranted = false
 	}
 	return nil, next
 }
 
-// weight scales a destination's quantum: the head's benefit, and a shared call is filled in one turn.
-func (m *Scheduler) weight(d *dest, h *held) float64 {
+// weight returns the factor on the quantum of a destination: the benefit of h, the notification that is next, times the
+// largest batch, so that one turn can fill a shared call.
+func (s *Scheduler) weight(d *destination, h *heldNotification) float64 {
 	batch := 1
-	for _, e := range m.dir.Endpoints(d.id) {
-		batch = max(batch, m.slots.BatchSize[e.Kind])
+	for _, e := range s.dir.Endpoints(d.id) {
+		batch = max(batch, s.capacity.BatchSize[e.Kind])
 	}
 	return float64(batch) * max(1, h.topic.Benefit)
 }
 
-// head is the first of a queue that may start now, or when one could.
-func (m *Scheduler) head(now float64, d *dest) (*held, float64) {
+// firstReady returns the first notification of a queue that may start now, or nil and the time at which one may start.
+func (s *Scheduler) firstReady(now float64, d *destination) (*heldNotification, float64) {
 	next := never
-	none, noneLow := false, false // what one without a past did not get, none like it gets
-	var refused []likeness
-	fresh := slices.IndexFunc(d.queue, func(h *held) bool { return !h.topic.ExponentialDecay || h.due() > now })
+	// Set once a notification that may go to any endpoint was not admitted: then no other is, or none of a low-benefit topic.
+	blocked, blockedLow := false, false
+	var blockedClasses []admissionClass
+	// Where the benefit decays exponentially, a notification past its objective loses little more by waiting.
+	firstTimely := slices.IndexFunc(d.queue, func(h *heldNotification) bool {
+		return !h.topic.ExponentialDecay || h.objectiveEnd() > now
+	})
 	for i := range d.queue {
-		h := d.queue[(max(0, fresh)+i)%len(d.queue)]
-		low := h.topic.Benefit < m.top
-		if none || noneLow && low {
+		h := d.queue[(max(0, firstTimely)+i)%len(d.queue)]
+		lowBenefit := h.topic.Benefit < s.maxBenefit
+		if blocked || blockedLow && lowBenefit {
 			continue
 		}
-		if free := m.keyFree(now, h); free > now {
-			next = min(next, free)
+		if keyFree := s.keyFreeAt(now, h); keyFree > now {
+			next = min(next, keyFree)
 			continue
 		}
-		like := likeness{h.Topic, h.heldTo()}
-		if slices.Contains(refused, like) { // what one did not get, none like it gets now
+		class := admissionClass{h.Topic, h.requiredZone()}
+		if slices.Contains(blockedClasses, class) { // the outcome is the same for all notifications of a class
 			continue
 		}
-		refused = append(refused, like)
-		e, when := m.admit(now, d, h)
+		blockedClasses = append(blockedClasses, class)
+		e, when := s.selectEndpoint(now, d, h)
 		if e != nil {
 			return h, now
 		}
-		if next = min(next, when); h.mayRun == never {
-			none, noneLow = none || !low, true
+		if next = min(next, when); h.mayHaveRunAt == never {
+			blocked, blockedLow = blocked || !lowBenefit, true
 		}
 	}
 	return nil, next
 }
 
-// admit finds the endpoint with fewest calls in flight that its throttle admits, or when one could be had. A
-// tie goes to the one that delivered last, else by chance: many dispatchers with none in flight crowd one.
-func (m *Scheduler) admit(now float64, d *dest, h *held) (*directory.Endpoint, float64) {
+// selectEndpoint returns the endpoint with the fewest calls in flight among those that admit h, or nil and the time at
+// which one may admit it. A tie goes to the lower fee, then to the endpoint that delivered last, or to a random one before
+// any delivery: with a fixed order many dispatchers without calls in flight would crowd one endpoint.
+func (s *Scheduler) selectEndpoint(now float64, d *destination, h *heldNotification) (*directory.Endpoint, float64) {
 	var best *directory.Endpoint
-	next, least := never, 0
-	listed := m.dir.Endpoints(d.id)
-	shuns := m.others(now, h, listed)
+	next, fewestCalls := never, 0
+	listed := s.dir.Endpoints(d.id)
+	avoid := s.hasAlternative(now, h, listed)
 	for i := range listed {
 		e := &listed[i]
-		if !m.takes(h, *e) || shuns && m.end(e.ID).topics[h.Topic].shunned > now {
+		if !s.eligible(h, *e) || avoid && s.endpoint(e.ID).topics[h.Topic].avoidedUntil > now {
 			continue
 		}
-		if m.joinable(now, *e) != nil {
+		if s.joinableCall(now, *e) != nil {
 			return e, now
 		}
-		end := m.end(e.ID)
-		if m.silent(now, end) || float64(len(end.calls)) >= end.most {
+		ep := s.endpoint(e.ID)
+		if s.unusuallySilent(now, ep) || float64(len(ep.calls)) >= ep.maxCalls {
 			continue
 		}
-		when := max(m.opens(now, d, *e, h), end.aside)
+		when := max(s.admitsAt(now, d, *e, h), ep.setAsideUntil)
 		if when > now {
 			next = min(next, when)
 			continue
 		}
-		better := best == nil || len(end.calls) < least
-		if !better && len(end.calls) == least {
-			fee, was := m.routes.FeeByZone[e.Zone], m.routes.FeeByZone[best.Zone]
-			better = fee < was || fee == was && end.rank > m.end(best.ID).rank
+		better := best == nil || len(ep.calls) < fewestCalls
+		if !better && len(ep.calls) == fewestCalls {
+			fee, bestFee := s.routes.FeeByZone[e.Zone], s.routes.FeeByZone[best.Zone]
+			better = fee < bestFee || fee == bestFee && ep.preference > s.endpoint(best.ID).preference
 		}
 		if better {
-			best, least = e, len(end.calls)
+			best, fewestCalls = e, len(ep.calls)
 		}
 	}
 	return best, next
 }
 
-// takes tells that an endpoint may have h at all.
-func (m *Scheduler) takes(h *held, e directory.Endpoint) bool {
-	return e.Stage == directory.Ready && (!h.zoned() || e.Zone == h.zone)
+// eligible reports whether h may be sent to an endpoint at all.
+func (s *Scheduler) eligible(h *heldNotification, e directory.Endpoint) bool {
+	return e.Stage == directory.Ready && (!h.zoneBound() || e.Zone == h.mayHaveRunZone)
 }
 
-// others tells that there is an endpoint which lately did not fail h's topic type, nor is in an outage. Then
-// those that did are shunned for it. It guards against endpoints that fail one topic type and take the rest;
-// it does harm where a failure was by chance and the others are slower.
-func (m *Scheduler) others(now float64, h *held, listed []directory.Endpoint) bool {
+// hasAlternative reports whether some eligible endpoint is neither avoided for the topic of h nor in an outage. Only then
+// are the endpoints that recently failed the topic avoided. This protects against endpoints that fail one topic and accept
+// the others; it costs latency where the failure was accidental and the other endpoints are slower.
+func (s *Scheduler) hasAlternative(now float64, h *heldNotification, listed []directory.Endpoint) bool {
 	for _, e := range listed {
-		if m.takes(h, e) && m.end(e.ID).topics[h.Topic].shunned <= now && !m.gate(e).down() {
+		if s.eligible(h, e) && s.endpoint(e.ID).topics[h.Topic].avoidedUntil <= now && !s.throttle(e).inOutage() {
 			return true
 		}
 	}
 	return false
 }
 
-// opens tells when the throttle of an endpoint lets h start: by now, at a time, or never (an outcome first).
-func (m *Scheduler) opens(now float64, d *dest, e directory.Endpoint, h *held) float64 {
-	g := m.gate(e)
-	if g.stop > now {
-		return g.stop
+// admitsAt returns when the throttle of an endpoint admits h: now or earlier, at a later time, or never if that takes an
+// outcome first.
+func (s *Scheduler) admitsAt(now float64, d *destination, e directory.Endpoint, h *heldNotification) float64 {
+	t := s.throttle(e)
+	if t.blockedUntil > now {
+		return t.blockedUntil
 	}
-	if m.out >= m.slots.MaxCalls || g.out >= m.cap(now, e) {
+	if s.callsInFlight >= s.capacity.MaxCalls || t.inFlight >= s.maxConcurrent(now, e) {
 		return never
 	}
-	low := 0.0
-	if h.topic.Benefit < m.top {
-		low = reserve * g.limit
+	reserved := 0.0
+	if h.topic.Benefit < s.maxBenefit {
+		reserved = reservedShare * t.limit
 	}
-	if g.out == 0 && now >= g.idle+m.forgets(g) {
-		g.allowance = never
+	if t.inFlight == 0 && now >= t.idleSince+s.allowanceLifetime(t) {
+		t.allowance = never
 	}
-	if g.allowance-1 < low {
-		if g.out == 0 {
-			return g.idle + m.forgets(g)
+	if t.allowance-1 < reserved {
+		if t.inFlight == 0 {
+			return t.idleSince + s.allowanceLifetime(t)
 		}
 		return never
 	}
-	return max(m.recoveryBudget(now, d, e, g), m.pace(now, d, e, g, h))
+	return max(s.recoveryStart(now, d, e, t), s.pacedStart(now, d, e, t, h))
 }
 
-// forgets tells how long the allowance is kept with no call out: a second, or what the limit takes a call.
-func (m *Scheduler) forgets(g *gate) float64 { return min(forget, 1/max(0, g.limit)) }
+// allowanceLifetime returns how long, in seconds, an allowance is kept with no call in flight: allowanceTTL, or the
+// interval between two calls at the limit if that is shorter.
+func (s *Scheduler) allowanceLifetime(t *throttle) float64 {
+	return min(allowanceTTL, 1/max(0, t.limit))
+}
 
-// cap is three quarters of the slots, half while the destination fails or slows, at least one.
-func (m *Scheduler) cap(now float64, e directory.Endpoint) int {
-	g := m.gate(e)
-	if g.recovering || m.silent(now, m.end(e.ID)) {
-		return max(1, m.slots.MaxCalls/2)
+// maxConcurrent returns how many calls may be in flight to a destination: three quarters of the slots, or half of them
+// while the destination recovers or the endpoint is unusually silent, and at least one.
+func (s *Scheduler) maxConcurrent(now float64, e directory.Endpoint) int {
+	t := s.throttle(e)
+	if t.recovering || s.unusuallySilent(now, s.endpoint(e.ID)) {
+		return max(1, s.capacity.MaxCalls/2)
 	}
-	return max(1, m.slots.MaxCalls*3/4)
+	return max(1, s.capacity.MaxCalls*3/4)
 }
 
-// HandleRestart tells that a process before this one may have left pushes behind that still run. What was over by then is known
-// to nobody, so all ordered keys rest for the stated time.
-func (m *Scheduler) HandleRestart(now float64) { m.keysFrom = now + m.pushes.KeyCooldown }
+// HandleRestart records that pushes of an earlier process may still run. The ledger does not keep notifications that were
+// finished by then, so all ordered keys pause for KeyCooldown.
+func (s *Scheduler) HandleRestart(now float64) { s.keysBlockedUntil = now + s.policy.KeyCooldown }
 
-// spread lets what is owed since a restart start at a moment of this dispatcher's own, within the time in
-// which its even part of the listed rate brings it a push, or the objective. It guards destinations when many
-// restart together.
-func (m *Scheduler) spread(now float64, d *dest, h *held) {
-	for _, e := range m.dir.Endpoints(d.id) {
-		if g := m.gate(e); g.jitter == 0 {
-			g.jitter = m.rng.float()
-			g.stop = now + g.jitter*min(h.topic.Objective, 1/m.evenShare(m.rate(e, g)))
+// staggerRestored delays the first push of notifications read back after a restart by a random time, up to the interval
+// at which this dispatcher's even share of the listed rate allows a push, or up to the objective if that is shorter. This
+// protects destinations when many dispatchers restart together.
+func (s *Scheduler) staggerRestored(now float64, d *destination, h *heldNotification) {
+	for _, e := range s.dir.Endpoints(d.id) {
+		if t := s.throttle(e); t.jitter == 0 {
+			t.jitter = s.rng.float()
+			t.blockedUntil = now + t.jitter*min(h.topic.Objective, 1/s.evenShare(s.destinationRate(e, t)))
 		}
 	}
 }
 
-// pace tells when the next push may go where pushes were refused: what was taken before the last refusal,
-// or an even share of the told rate, is kept to at first and then slowly passed. It guards against others'
-// use of a limit, limits lowered without a report, and refusals that use up the limit: there a rate a little
-// above the limit gets next to nothing, so the share of late pushes that were refused comes off.
-func (m *Scheduler) pace(now float64, d *dest, e directory.Endpoint, g *gate, h *held) float64 {
-	if now-g.full > 1/climb {
+// pacedStart returns when the next push may start at a destination that refused pushes. The pace starts at what was
+// accepted before the last refusal, or at the demand share if that is more, and then grows slowly. Pacing covers limits
+// that others use too, limits that are lowered without a report, and refusals that use up the limit themselves. In that
+// last case a rate just above the limit delivers next to nothing, so the pace is reduced by the share of recent pushes
+// that were refused.
+func (s *Scheduler) pacedStart(now float64, d *destination, e directory.Endpoint, t *throttle, h *heldNotification) float64 {
+	if now-t.lastRefusal > 1/paceGrowth {
 		return now
 	}
-	taken := 0.0
-	for _, s := range g.ended {
-		if s.weight == 0 && s.at <= g.full && s.at > g.full-takenSpan {
-			taken++
+	accepted := 0.0
+	for _, outcome := range t.outcomes {
+		if outcome.weight == 0 && outcome.at <= t.lastRefusal && outcome.at > t.lastRefusal-acceptedWindow {
+			accepted++
 		}
 	}
-	part := m.demandShare(now, d, e, g)
-	span := scatter * m.returns.OverloadSpan / m.share(e, g)
-	if when := g.stop + g.jitter*min(1/part, span); when > now && g.lastTrial < g.stop {
+	demand := s.demandShare(now, d, e, t)
+	resendSpan := resendSpread * s.recovery.OverloadSpan / s.routeShare(e, t)
+	if when := t.blockedUntil + t.jitter*min(1/demand, resendSpan); when > now && t.lastTrial < t.blockedUntil {
 		return when
 	}
-	turned := mean(g.turned, 0)
-	if m.routes.FreeRefusals && turned < collapsing {
+	refusedShare := smoothedMean(t.refusalSamples, 0)
+	if s.routes.FreeRefusals && refusedShare < freeRefusalThreshold {
 		return now
 	}
-	base := easing * max((taken-1)/takenSpan, part) * (1 - turned) * m.merit(h)
-	return m.window(now, g, base*(1+climb*(now-g.full)), paceSpan)
+	baseRate := paceStart * max((accepted-1)/acceptedWindow, demand) * (1 - refusedShare) * s.relativeBenefit(h)
+	return s.windowStart(now, t, baseRate*(1+paceGrowth*(now-t.lastRefusal)), paceWindow)
 }
 
-// window tells when the next push may go, if no span is to see more pushes than the rate gives it.
-func (m *Scheduler) window(now float64, g *gate, rate, span float64) float64 {
-	room := rate * span
-	if room < 1 {
-		span, room = span/max(room, 0.01), 1
+// windowStart returns when the next push may start if no window of span seconds may hold more pushes than rate (per
+// second) allows. If that is less than one push, the window is widened to hold one.
+func (s *Scheduler) windowStart(now float64, t *throttle, rate, span float64) float64 {
+	maxWeight := rate * span
+	if maxWeight < 1 {
+		span, maxWeight = span/max(maxWeight, 0.01), 1
 	}
-	spent := 0.0
-	for i := len(g.sent) - 1; i >= 0 && g.sent[i].at > now-span; i-- {
-		if spent += g.sent[i].weight; spent > room-1+1e-9 {
-			return g.sent[i].at + span + 1e-6
+	used := 0.0
+	for i := len(t.sentPushes) - 1; i >= 0 && t.sentPushes[i].at > now-span; i-- {
+		if used += t.sentPushes[i].weight; used > maxWeight-1+1e-9 {
+			return t.sentPushes[i].at + span + 1e-6
 		}
 	}
 	return now
 }
 
-// patience is a push's time-out, by the answer times last seen; where an endpoint has shown few, those of all
-// stand in. With the last slot taken it is no longer than that: a lost answer would hold up all others.
-func (m *Scheduler) patience(g *gate, end *endpoint, h *held) float64 {
-	aim := h.topic.Objective
-	if g.down() {
-		return mostWait * aim
+// pushTimeout returns the timeout of a push in seconds, derived from recent latencies. While an endpoint has few samples,
+// those of all endpoints stand in. A push that takes the last slot gets no more than that, without the objective as lower
+// bound, because a lost answer would hold up all other pushes.
+func (s *Scheduler) pushTimeout(t *throttle, ep *endpoint, h *heldNotification) float64 {
+	objective := h.topic.Objective
+	if t.inOutage() {
+		return maxTimeoutObjectives * objective
 	}
-	if m.out >= m.slots.MaxCalls {
-		return min(patience*mean(end.lasted, mean(m.lasted, firstGap)), mostWait*aim)
+	if s.callsInFlight >= s.capacity.MaxCalls {
+		return min(timeoutLatencies*smoothedMean(ep.latencies, smoothedMean(s.latencies, defaultGap)), maxTimeoutObjectives*objective)
 	}
-	wait := min(max(aim, patience*mean(end.lasted, mean(m.lasted, firstGap))), mostWait*aim)
+	timeout := min(max(objective, timeoutLatencies*smoothedMean(ep.latencies, smoothedMean(s.latencies, defaultGap))),
+		maxTimeoutObjectives*objective)
 	if h.topic.Repeat == OnceOnly {
-		wait *= 2
+		timeout *= 2
 	}
-	return wait
+	return timeout
 }
 
-// hopeless tells that a held notification cannot be delivered any more: it gets its final answer at once.
-func (m *Scheduler) hopeless(now float64, d *dest, h *held) bool {
-	late := now >= m.lastStart(h) || h.pushes >= m.pushes.MaxPushes || h.shed
-	unsafe := h.mayRun != never && h.topic.Repeat == OnceOnly || now > m.knownUntil(h)
-	return !h.over && h.call == nil && (late || unsafe)
+// cannotDeliver reports whether a held notification can no longer be delivered and is to get its final answer.
+func (s *Scheduler) cannotDeliver(now float64, d *destination, h *heldNotification) bool {
+	outOfTime := now >= s.latestStart(h) || h.pushes >= s.policy.MaxPushes || h.displaced
+	unsafe := h.mayHaveRunAt != never && h.topic.Repeat == OnceOnly || now > s.dedupUntil(h)
+	return !h.finished && h.call == nil && (outOfTime || unsafe)
 }
 
-// lastStart is when a push could still bring an answer in time, as answers lately took. One begun later ends
-// unheard, and with it a wait that its answer tells: the next push there would break it.
-func (m *Scheduler) lastStart(h *held) float64 {
-	return h.until - max(m.pushes.Tick, mean(m.lasted, 0))
+// latestStart returns the latest time at which a push can still be answered in time, given recent latencies. A push
+// started later would end before its answer is read, and a wait told in that answer would be violated by the next push.
+func (s *Scheduler) latestStart(h *heldNotification) float64 {
+	return h.expiresAt - max(s.policy.Tick, smoothedMean(s.latencies, 0))
 }
 
-// knownUntil is when a push that may have run would no longer be known for a repeat: none may start later,
-// also none that waited for its connection until then.
-func (m *Scheduler) knownUntil(h *held) float64 {
+// dedupUntil returns until when a repeat is recognised by the endpoints, if a push may have run. No push may start later,
+// including one that waited for its connection until then.
+func (s *Scheduler) dedupUntil(h *heldNotification) float64 {
 	if h.topic.Repeat != Collapsible {
 		return never
 	}
-	return h.mayRun + h.topic.DedupWindow - m.pushes.Tick
+	return h.mayHaveRunAt + h.topic.DedupWindow - s.policy.Tick
 }
 
-// giveUp ends one: throttled where it may safely come again, else expired. Its key waits until that is heard.
-func (m *Scheduler) giveUp(now float64, d *dest, h *held) Decision {
-	h.over, h.ending = true, true
-	m.leave(d, h)
-	known := h.topic.Repeat == Collapsible && h.topic.DedupScope == "all"
-	if h.mayRun == never || h.topic.Repeat == Repeatable || known {
-		return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: m.retryIn(now, d)}
+// giveUp finishes a notification: with Throttle if it is safe to submit again, otherwise with Expire. Its key stays blocked
+// until the client has received that answer.
+func (s *Scheduler) giveUp(now float64, d *destination, h *heldNotification) Decision {
+	h.finished, h.noticePending = true, true
+	s.dequeue(d, h)
+	deduplicated := h.topic.Repeat == Collapsible && h.topic.DedupScope == "all"
+	if h.mayHaveRunAt == never || h.topic.Repeat == Repeatable || deduplicated {
+		return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: s.retryIn(now, d)}
 	}
 	return Decision{Action: Expire, NotificationID: h.ID}
 }
 
-// bound is how many notifications a destination's queue holds as h comes: as many as there is room left, so
-// that queues that stand still leave room for those that move, more or fewer by its merit.
-func (m *Scheduler) bound(h *held) int {
-	return max(1, int(float64(m.slots.MaxHeld-len(m.held))*m.merit(h)))
+// queueBound returns how many notifications the queue of a destination may hold when h arrives: as many as there is room
+// left, times the relative benefit of h. Queues that do not move thus leave room for those that do.
+func (s *Scheduler) queueBound(h *heldNotification) int {
+	return max(1, int(float64(s.capacity.MaxHeld-len(s.held))*s.relativeBenefit(h)))
 }
 
-// merit is a notification's benefit against the mean of those taken: what is short is parted by it. The
-// reserve does so only while calls are out. It does harm where one topic type has nearly all of the benefit.
-func (m *Scheduler) merit(h *held) float64 {
-	return h.topic.Benefit * float64(m.taken) / max(m.worths, 1e-9)
+// relativeBenefit returns the benefit of a notification divided by the mean benefit of those taken. Scarce room and pace
+// are divided by it; reservedShare does the same for limits, but only while calls are in flight. It works poorly where one
+// topic has nearly all of the benefit.
+func (s *Scheduler) relativeBenefit(h *heldNotification) float64 {
+	return h.topic.Benefit * float64(s.takenCount) / max(s.benefitSum, 1e-9)
 }
 
-// displace marks the notification of a full queue that is worth least now, if it is worth less than h.
-func (m *Scheduler) displace(now float64, d *dest, h *held) bool {
-	least := h
-	for _, x := range d.queue { // what a restart found untried was promised a try
-		if !x.shed && !(x.Restored && x.pushes == 0) && m.worth(now, x) < m.worth(now, least) {
-			least = x
+// displace marks the notification in a full queue that is worth least now, if it is worth less than h, and reports whether
+// there was one.
+func (s *Scheduler) displace(now float64, d *destination, h *heldNotification) bool {
+	leastValuable := h
+	for _, x := range d.queue {
+		// An untried notification read back after a restart was promised a push, so it stays.
+		if !x.displaced && !(x.Restored && x.pushes == 0) && s.currentBenefit(now, x) < s.currentBenefit(now, leastValuable) {
+			leastValuable = x
 		}
 	}
-	least.shed = least != h
-	return least.shed
+	leastValuable.displaced = leastValuable != h
+	return leastValuable.displaced
 }
 
-// worth is the benefit of a notification delivered now.
-func (m *Scheduler) worth(now float64, h *held) float64 {
-	late := now - h.due()
-	share := 1 - (1-h.topic.LateBenefit)*max(0, late)/max(h.topic.TTL-h.topic.Objective, 1e-9)
+// currentBenefit returns the benefit of a notification if it were delivered now.
+func (s *Scheduler) currentBenefit(now float64, h *heldNotification) float64 {
+	lateness := now - h.objectiveEnd()
+	share := 1 - (1-h.topic.LateBenefit)*max(0, lateness)/max(h.topic.TTL-h.topic.Objective, 1e-9)
 	if h.topic.ExponentialDecay {
-		share = max(h.topic.LateBenefit, math.Exp2(-max(0, late)/h.topic.Objective))
+		share = max(h.topic.LateBenefit, math.Exp2(-max(0, lateness)/h.topic.Objective))
 	}
-	if h.beyond {
-		share *= m.shares.OverQuotaBenefit
+	if h.overQuota {
+		share *= s.quotas.OverQuotaBenefit
 	}
 	return h.topic.Benefit * share
 }
 
-// beyond tells that a tenant asks more than this dispatcher's part of its share, which is worth little. It
-// guards the others' room in bursts; retries, known by the time they have left, belong to their first try.
-func (m *Scheduler) beyond(now float64, tenant string) bool {
-	part := shareSpan * m.evenShare(m.shares.Rate[tenant])
-	part += 2 * math.Sqrt(part) // beyond what chance alone brings
-	asked := last(m.asked[tenant], now, many)
-	m.asked[tenant] = asked
-	return part > 0 && len(asked) > int(part) && asked[len(asked)-1-int(part)] > now-shareSpan
+// overQuota records an arrival for a tenant and reports whether the tenant is over this dispatcher's share of its quota.
+// Notifications over quota earn little benefit, which protects the room of other tenants in bursts. Retries, recognised by
+// the time they have left, are not counted: they belong to their first try.
+func (s *Scheduler) overQuota(now float64, tenant string) bool {
+	allowed := quotaSpan * s.evenShare(s.quotas.Rate[tenant])
+	allowed += 2 * math.Sqrt(allowed) // margin for random variation
+	arrivals := appendLast(s.tenantArrivals[tenant], now, maxPushSamples)
+	s.tenantArrivals[tenant] = arrivals
+	return allowed > 0 && len(arrivals) > int(allowed) && arrivals[len(arrivals)-1-int(allowed)] > now-quotaSpan
 }
 
-// retryIn tells a client when there is likely room again: when the first endpoint may get a push, as far as
-// that is known now. One that answers nobody is tried by what is held here first.
-func (m *Scheduler) retryIn(now float64, d *dest) float64 {
-	first := never
-	for _, e := range m.dir.Endpoints(d.id) {
+// retryIn returns the seconds after which a client is likely to find room: until the first endpoint may get a push, as far
+// as is known now, and at least allowanceTTL. An endpoint in an outage is first tried with the notifications held here.
+func (s *Scheduler) retryIn(now float64, d *destination) float64 {
+	earliest := never
+	for _, e := range s.dir.Endpoints(d.id) {
 		if e.Stage != directory.Ready {
 			continue
 		}
-		g := m.gate(e)
-		first = min(first, max(g.stop, m.end(e.ID).aside, m.recoveryBudget(now, d, e, g)))
+		t := s.throttle(e)
+		earliest = min(earliest, max(t.blockedUntil, s.endpoint(e.ID).setAsideUntil, s.recoveryStart(now, d, e, t)))
 	}
-	if first == never {
-		return forget
+	if earliest == never {
+		return allowanceTTL
 	}
-	return max(forget, first-now)
+	return max(allowanceTTL, earliest-now)
 }
 
-// keyFree tells when an ordered notification's key is its own: now, a time, or never (an outcome first).
-func (m *Scheduler) keyFree(now float64, h *held) float64 {
+// keyFreeAt returns when the key of an ordered notification becomes available to it: now, at a later time, or never if
+// that takes an outcome first.
+func (s *Scheduler) keyFreeAt(now float64, h *heldNotification) float64 {
 	if !h.ordered() {
 		return now
 	}
-	wait := max(now, m.keysFrom)
-	for _, x := range m.keys[h.Key] {
+	freeAt := max(now, s.keysBlockedUntil)
+	for _, x := range s.keys[h.Key] {
 		if x == h {
-			return wait
+			return freeAt
 		}
 		if !x.done() {
 			return never
 		}
-		wait = max(wait, x.rest)
+		freeAt = max(freeAt, x.keyBlockedUntil)
 	}
-	return wait
+	return freeAt
 }
 
-// joinable is the call of this turn to an endpoint that has room for another notification.
-func (m *Scheduler) joinable(now float64, e directory.Endpoint) *call {
-	calls := m.end(e.ID).calls
-	if n := len(calls); n > 0 && calls[n-1].at == now && calls[n-1].size < m.slots.BatchSize[e.Kind] {
+// joinableCall returns the call of this turn to an endpoint that has room for another notification, or nil.
+func (s *Scheduler) joinableCall(now float64, e directory.Endpoint) *call {
+	calls := s.endpoint(e.ID).calls
+	if n := len(calls); n > 0 && calls[n-1].startedAt == now && calls[n-1].size < s.capacity.BatchSize[e.Kind] {
 		return calls[n-1]
 	}
 	return nil
 }
 
-// enqueue puts a notification in its place: by the end of its objective, then by the order taken. So a client
-// that leaves little time, or comes again, is not behind those who have all of theirs.
-func (m *Scheduler) enqueue(d *dest, h *held) {
+// enqueue inserts a notification in the order of objective ends, then of sequence. A notification with little time left,
+// or one that is retried, is thus not queued behind those with all of their time left.
+func (s *Scheduler) enqueue(d *destination, h *heldNotification) {
 	at := len(d.queue)
 	for ; at > 0; at-- {
-		if x := d.queue[at-1]; x.due() < h.due() || x.due() == h.due() && x.order < h.order {
+		if x := d.queue[at-1]; x.objectiveEnd() < h.objectiveEnd() || x.objectiveEnd() == h.objectiveEnd() && x.sequence < h.sequence {
 			break
 		}
 	}
 	d.queue = slices.Insert(d.queue, at, h)
 	if !d.inRound {
 		d.inRound, d.deficit = true, 0
-		m.round = append(m.round, d)
+		s.round = append(s.round, d)
 	}
 }
 
-// leave takes a notification off its queue; an emptied queue leaves the round and its deficit is reset.
-func (m *Scheduler) leave(d *dest, h *held) {
-	d.queue = slices.DeleteFunc(d.queue, func(x *held) bool { return x == h })
+// dequeue removes a notification from its queue. An empty queue leaves the round and its deficit is reset.
+func (s *Scheduler) dequeue(d *destination, h *heldNotification) {
+	d.queue = slices.DeleteFunc(d.queue, func(x *heldNotification) bool { return x == h })
 	if len(d.queue) > 0 || !d.inRound {
 		return
 	}
 	d.inRound, d.deficit = false, 0
-	i := slices.Index(m.round, d)
-	m.round = slices.Delete(m.round, i, i+1)
-	if i < m.pointer {
-		m.pointer--
-	} else if i == m.pointer {
-		m.granted = false
+	i := slices.Index(s.round, d)
+	s.round = slices.Delete(s.round, i, i+1)
+	if i < s.roundIndex {
+		s.roundIndex--
+	} else if i == s.roundIndex {
+		s.quantumGranted = false
 	}
 }
 
-// errandAt tells when the list is to be asked for (at start, and again some time after a failure), or idle
-// connections are to be closed.
-func (m *Scheduler) errandAt(now float64) float64 {
-	if m.ask && m.nextAsk == never && m.dir.ConsecutiveFailures > 0 && m.dir.Revision != m.heard {
-		m.heard = m.dir.Revision
-		m.nextAsk = now + asideRand*(1+m.rng.float())
+// nextMaintenance returns when maintenance is due: requesting the list of endpoints, at start and some time after a
+// failure, or closing idle connections.
+func (s *Scheduler) nextMaintenance(now float64) float64 {
+	if s.listOnRequest && s.nextListRequest == never && s.dir.ConsecutiveFailures > 0 && s.dir.Revision != s.updatesAtRequest {
+		s.updatesAtRequest = s.dir.Revision
+		s.nextListRequest = now + setAsideJitter*(1+s.rng.float())
 	}
-	used := func(i idle) bool { return len(i.end.calls) > 0 || i.end.idle != i.since }
-	m.idle = slices.DeleteFunc(m.idle, used)
-	next := m.nextAsk
-	for _, i := range m.idle {
-		next = min(next, m.closes(now, i))
+	stale := func(i idleEndpoint) bool { return len(i.endpoint.calls) > 0 || i.endpoint.idleSince != i.since }
+	s.idleEndpoints = slices.DeleteFunc(s.idleEndpoints, stale)
+	next := s.nextListRequest
+	for _, i := range s.idleEndpoints {
+		next = min(next, s.idleCloseAt(now, i))
 	}
 	return next
 }
 
-// closes tells when idle connections are to be closed. An endpoint may take only so many, and many
-// dispatchers' idle ones would shut the others out, or break unseen. Where endpoints of its kind lately
-// refused or broke one, the settings' idle time is divided among the dispatchers, and where this one's calls
-// come farther apart a connection kept would only take another's place; else it is five seconds at most.
-func (m *Scheduler) closes(now float64, i idle) float64 {
-	keep := m.evenShare(m.pushes.IdleTimeout)
-	if m.scarce[i.end.kind] <= now {
-		keep = max(keep, min(idleKept, cmp.Or(m.pushes.IdleTimeout, idleKept)))
-	} else if keep < mean(i.end.apart, firstGap) {
-		keep = 0
+// idleCloseAt returns when the idle connections to an endpoint are to be closed. An endpoint may accept only so many
+// connections: idle ones of many dispatchers can exclude others, or be closed unnoticed. While connections to endpoints of
+// the kind are scarce, because one was refused or broke recently, the idle timeout of the settings is divided among the
+// dispatchers, and connections are closed at once if the calls of this dispatcher are farther apart than that. Otherwise
+// they are kept for that share, or up to defaultIdleTimeout if that is longer.
+func (s *Scheduler) idleCloseAt(now float64, i idleEndpoint) float64 {
+	keepOpen := s.evenShare(s.policy.IdleTimeout)
+	if s.connectionsScarceUntil[i.endpoint.kind] <= now {
+		keepOpen = max(keepOpen, min(defaultIdleTimeout, cmp.Or(s.policy.IdleTimeout, defaultIdleTimeout)))
+	} else if keepOpen < smoothedMean(i.endpoint.callGaps, defaultGap) {
+		keepOpen = 0
 	}
-	return i.since + keep
+	return i.since + keepOpen
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -19,7 +19,7 @@
 )
 
 // One slot, a long queue and a short one: they take turns, and the short one is not behind the long one.
-func Example_turns() {
+func Example_deficitRoundRobin() {
 	d := newDesk(1, 40, "A", "B")
 	d.take("reading", "A1", "A2", "A3", "A4", "B1", "B2")
 	for i, id := range []string{"A1", "B1", "A2", "B2", "A3", "A4"} {
@@ -36,7 +36,7 @@
 }
 
 // The quantum follows the benefit: orders, worth three readings, leave three to one.
-func Example_weights() {
+func Example_quantumByBenefit() {
 	d := newDesk(1, 40, "A", "B")
 	d.take("reading", "A1", "A2", "A3")
 	d.take("order", "B1", "B2", "B3", "B4")
@@ -55,7 +55,7 @@
 }
 
 // Found on the deployments with priced handshakes: an idle connection is kept for five seconds where none was refused.
-func Example_idleKept() {
+func Example_idleConnectionKept() {
 	d := shaped(func(s *shape) { s.pushes.IdleTimeout, s.returns.Dispatchers = 15, 100 }, 4, 40, "A")
 	d.closing = true
 	d.take("reading", "A1")
@@ -93,7 +93,7 @@
 }
 
 // Low-benefit notifications leave a tenth of the limit alone.
-func Example_reserve() {
+func Example_reservedLimit() {
 	d := newDesk(12, 40, "A")
 	d.take("order", "A1")
 	d.at(0)
@@ -109,7 +109,7 @@
 }
 
 // A told wait stops the whole destination, its other endpoint too; a refusal that tells none stops half a second.
-func Example_waits() {
+func Example_toldWait() {
 	d := newDesk(8, 40, "A", "Ab")
 	d.take("reading", "A1", "A2")
 	d.at(0)
@@ -129,7 +129,7 @@
 }
 
 // Of eight slots one destination gets six, and four after it failed; others still get theirs.
-func Example_cap() {
+func Example_maxConcurrent() {
 	d := newDesk(8, 60, "A", "B")
 	d.take("reading", "A1", "A2", "A3", "A4", "A5", "A6", "A7")
 	d.at(0)
@@ -164,7 +164,7 @@
 }
 
 // What is unsent at its TTL is throttled; a last push ends with it, and a once-only one is then expired.
-func Example_nothingLost() {
+func Example_finalAnswerAtTTL() {
 	d := newDesk(1, 40, "A", "B")
 	d.take("order", "A1")
 	d.at(0)
@@ -179,7 +179,7 @@
 }
 
 // Once-only is never pushed again unless no push can have run; collapsible only while the mark is remembered.
-func Example_noEffectTwice() {
+func Example_repeatPolicy() {
 	d := newDesk(8, 40, "A", "B", "C")
 	d.take("order", "A1", "B2")
 	d.take("tally", "C1")
@@ -213,7 +213,7 @@
 }
 
 // After an outage one push at a time tries; an answer opens the way for what a cold destination can take.
-func Example_return() {
+func Example_slowStart() {
 	d := newDesk(12, 60, "A")
 	d.take("reading", "A1", "A2")
 	d.at(0)
@@ -239,7 +239,7 @@
 }
 
 // Later orders of a key wait apart, also for the rest after a time-out, and hold up nobody else.
-func Example_order() {
+func Example_orderedKey() {
 	d := newDesk(8, 40, "A", "B")
 	d.take("order", "A1", "B1b", "A2")
 	d.at(0)
@@ -272,7 +272,7 @@
 }
 
 // Routes apart have waits of their own.
-func Example_routesApart() {
+func Example_separateRoutes() {
 	d := newDesk(8, 40)
 	d.list("A", "apart", directory.Ready)
 	d.list("Ab", "apart", directory.Ready)
@@ -287,7 +287,7 @@
 
 // Found on the fleet trial, where destinations lower their limits. What comes again after a refusal is no new demand,
 // and this dispatcher's part falls with the limit: half of two a second here, not what 40 retries ask for.
-func Example_lowered() {
+func Example_loweredLimit() {
 	d := newDesk(12, 60, "A")
 	for i := range 40 {
 		id := fmt.Sprintf("A%02d", i)
@@ -318,7 +318,7 @@
 
 // Found on the fleet trial: a push with 33 ms left was given up as its refusal came, nobody read the wait told there, and
 // the next push broke it. None is begun with less time left than answers take.
-func Example_unheardWait() {
+func Example_minimumTimeLeft() {
 	d := newDesk(12, 60, "A")
 	d.take("reading", "A1", "A2", "A3")
 	d.at(0)
@@ -337,7 +337,7 @@
 }
 
 // Found on results-windhoek: refused destinations were sent their whole queue after each stop.
-func Example_pace() {
+func Example_paceAfterRefusals() {
 	d := newDesk(12, 60, "A")
 	d.take("reading", "A1", "A2", "A3", "A4", "A5", "A6", "A7", "A8")
 	d.at(0)
@@ -385,7 +385,7 @@
 
 // Found on savannah-dc, where every endpoint is a route apart: hundreds of dispatchers that each met one failure pushed
 // a returning route over. There one failure makes an outage, and two refusals with much of the limit left do.
-func Example_routeOut() {
+func Example_routeOutage() {
 	d := shaped(func(s *shape) { s.returns.Dispatchers, s.routes.FreeRefusals = 200, true }, 12, 60)
 	d.list("A", "apart", directory.Ready)
 	d.list("Ab", "apart", directory.Draining)
@@ -412,7 +412,7 @@
 // Found on tenjin-campus and savannah-dc: before any limit was told, every dispatcher tried as often as if a shared call
 // were one push and the destination had one route. Trials there are rarer; a push that was long out makes them rarer too,
 // since on a silent destination all that wait for their connection arrive together.
-func Example_trials() {
+func Example_trialRate() {
 	for _, x := range []struct {
 		kind   string
 		routes int
@@ -464,7 +464,7 @@
 
 // What is turned away is told when the first of its routes may get a push, not the last; one out of order is no reason
 // to come back at once.
-func Example_timeTold() {
+func Example_retryIn() {
 	d := shaped(func(s *shape) { s.returns.Dispatchers = 200 }, 12, 3)
 	for _, id := range []string{"A", "Ab"} {
 		d.list(id, "apart", directory.Ready)
@@ -500,7 +500,7 @@
 
 // A list that tells no rates has weight one for each endpoint. That is no rate of one a second: a hot destination's
 // trials follow what came for it here, as long as no answer tells its limit.
-func Example_unlisted() {
+func Example_unlistedRate() {
 	for _, unlisted := range []bool{false, true} {
 		d := shaped(func(s *shape) { s.returns.RatesUnlisted, s.returns.Dispatchers = unlisted, 200 }, 12, 60)
 		d.dir.Apply([]directory.Endpoint{{ID: "A", Kind: "plain", Dest: "A", Stage: directory.Ready, Rate: 1}})
@@ -516,7 +516,7 @@
 
 // Found on both deployments after the move: one endpoint fails one topic type and takes the others. It gets none of that
 // type while another endpoint can take it, and the rest as before.
-func Example_oneTopicFails() {
+func Example_topicAvoidance() {
 	d := newDesk(12, 60, "A", "Ab")
 	d.take("reading", "A1", "A2")
 	d.at(0)
@@ -538,7 +538,7 @@
 
 // Found on real sockets, where one answer in some is spoilt: an endpoint that delivers a topic type is not shunned for it
 // after one failure, but after two in a row.
-func Example_failsSingly() {
+func Example_singleTopicFailure() {
 	d := newDesk(12, 60, "A", "Ab")
 	for i, o := range []decide.Outcome{ok, failed, failed, ok} {
 		reading, tally := fmt.Sprint("A", i), fmt.Sprint("A", i, "t")
@@ -598,7 +598,7 @@
 // Found on hobart-relay: a dead destination filled the room. Its queue ends where as much room is left, and what
 // is worth least there makes way for what is worth more. What is worth more than the mean has more room there: two of the
 // orders come in beside the readings, the third in the place of one.
-func Example_room() {
+func Example_queueBound() {
 	d := newDesk(8, 8, "B")
 	d.take("reading", "A1", "A2", "A3", "A4", "A5")
 	d.take("order", "A6", "A7", "A8")
@@ -612,7 +612,7 @@
 }
 
 // Found on results-windhoek: time-outs of pushes older than a later delivery started a new outage.
-func Example_oldNews() {
+func Example_staleTimeouts() {
 	d := newDesk(12, 60, "A", "Ab")
 	d.take("reading", "A1", "A2")
 	d.at(0)
@@ -631,7 +631,7 @@
 }
 
 // Found on hobart-relay: with a few calls lost among many, the destination keeps all its turns.
-func Example_lossy() {
+func Example_occasionalTimeout() {
 	d := newDesk(12, 60, "A")
 	d.take("reading", "A1", "A2", "A3")
 	d.at(0)
@@ -653,7 +653,7 @@
 
 // Found on dar-delivery: several hung destinations together get no more than a quarter of the slots, once two
 // pushes to each have failed; one failure alone is no outage.
-func Example_lostSlots() {
+func Example_hungDestinations() {
 	d := newDesk(4, 60, "A", "B", "C")
 	d.take("reading", "A1", "B1")
 	d.at(0)
@@ -678,7 +678,7 @@
 
 // Found on hobart-relay: clients that leave half a second. Their pushes' ends tell nothing of the endpoint, and
 // they go before those who have time.
-func Example_hurried() {
+func Example_shortTimeLeft() {
 	d := newDesk(2, 40, "A")
 	for i, id := range []string{"A1", "A2", "A3"} {
 		d.at(float64(i))
@@ -703,7 +703,7 @@
 }
 
 // Found on dar-delivery: one tenant asked far beyond its share. Its tenth in five seconds makes way, not the others.
-func Example_beyondShare() {
+func Example_tenantOverQuota() {
 	d := newDesk(1, 20, "B")
 	for _, n := range "123456789" {
 		ntf := decide.Notification{ID: "A" + string(n), Topic: "reading", Dest: "A", Tenant: "big", TimeLeft: 20}
@@ -719,7 +719,7 @@
 }
 
 // A list that answers only when asked is asked for at start, and again some time after a failure.
-func Example_list() {
+func Example_listRequests() {
 	dir := directory.New()
 	m := decide.New(7, dir, topics, decide.Capacity{MaxCalls: 4, MaxHeld: 9}, decide.Routes{}, decide.Recovery{},
 		decide.PushPolicy{MaxPushes: 8}, decide.TenantQuotas{}, true)
@@ -739,7 +739,7 @@
 
 // Found on all grown deployments: idle connections of many dispatchers filled the endpoints' tables. Each of two
 // dispatchers keeps idle ones for as long as the settings do, and for half of that second where one was refused.
-func Example_idle() {
+func Example_scarceConnections() {
 	d := newDesk(4, 40, "A", "B")
 	d.closing = true
 	d.take("reading", "A1")
@@ -765,7 +765,7 @@
 // their connections. That is no limit and no outage: the endpoint alone is left for half a second and a random part, the
 // destination's others get its pushes, no pace holds them back after, however often it happens, and what is idle goes at
 // once, since this dispatcher comes back later than its part of the idle time.
-func Example_crowded() {
+func Example_tooManyConnections() {
 	d := newDesk(12, 60, "A", "A'")
 	d.closing = true
 	d.take("reading", "A1", "A2")
@@ -804,7 +804,7 @@
 
 // Found on grown hobart-relay: answers were lost, and two slots waited for them. The last slot waits eight answer
 // times at most, which an endpoint of few answers takes from all.
-func Example_lastSlot() {
+func Example_lastSlotTimeout() {
 	d := newDesk(2, 40, "A", "B")
 	d.take("reading", "A1", "A2", "A3", "A4")
 	for i, id := range []string{"A1", "A2", "A3", "A4"} {
@@ -828,7 +828,7 @@
 
 // Found on grown results-windhoek: every dispatcher's first choice was the first listed. Now it is by chance; the
 // endpoint that delivered last is kept to, and left when it refuses.
-func Example_ties() {
+func Example_endpointTies() {
 	d := newDesk(8, 40, "B", "A", "Ab", "Ac", "Ad")
 	d.take("reading", "B1", "A1")
 	d.at(0)
@@ -846,7 +846,7 @@
 
 // Found on grown dar-delivery: a hung partner's full queue refuses. Once it answers again the return budget alone
 // decides; the pace that its refusals called for would hold it to a push in seconds.
-func Example_refusalsOver() {
+func Example_refusalsBeforeRecovery() {
 	d := newDesk(12, 60, "A")
 	d.take("reading", "A1", "A2", "A3", "A4")
 	d.at(0)
@@ -869,7 +869,7 @@
 
 // Found on grown hobart-relay, where it broke the rule on returns: far more came for a hot destination than it
 // takes, and parts by what came pushed it over. Then the part is even: five pushes in two seconds, not eight.
-func Example_hotReturn() {
+func Example_overloadedRecovery() {
 	d := newDesk(24, 200, "A")
 	d.take("reading", "A0")
 	d.at(0)
@@ -942,7 +942,7 @@
 
 // A list that was lost is asked for again after half a second to a second: a poll that hung before, and a second loss, are
 // to come to less than the six seconds after which a change counts as told (platform's TestQuietListTable).
-func TestPauseAfterLoss(t *testing.T) {
+func TestListRequestDelay(t *testing.T) {
 	for seed := range uint64(200) {
 		dir := directory.New()
 		m := decide.New(seed<<40+seed, dir, topics, decide.Capacity{MaxCalls: 4, MaxHeld: 9}, decide.Routes{}, decide.Recovery{},
@@ -956,7 +956,7 @@
 }
 
 // A final answer that was not heard yet keeps its key.
-func Example_unheard() {
+func Example_unconfirmedFinalAnswer() {
 	d := newDesk(6, 40, "A")
 	d.unheard = true
 	d.take("order", "A1", "A1'")
@@ -988,7 +988,7 @@
 }
 
 // A push given back unsent is none of the eight that a notification has; one that was not sent for another reason is.
-func Example_unsent() {
+func Example_unsentPushNotCounted() {
 	d := newDesk(6, 40, "A")
 	d.take("reading", "A1")
 	for i, o := range []decide.Outcome{{Result: decide.NotAttempted, Unsent: true}, {Result: decide.NotAttempted}} {
@@ -1019,7 +1019,7 @@
 
 // A destination that no list names is refused; one whose endpoints are gone for now is held. A message that no
 // endpoint takes is given up with the first push.
-func Example_unusable() {
+func Example_unknownDestination() {
 	d := newDesk(8, 40, "A", "D")
 	d.take("reading", "X1")
 	d.list("D", "plain", directory.Gone)
@@ -1035,7 +1035,7 @@
 // Found at three times the load: a partner that takes so many calls at once was sent all that was held after each
 // stop, and refused most. What it kept when it refused is what it is sent, and slowly more; if it kept none, it is
 // shut, and that tells nothing of how many it takes.
-func Example_atOnce() {
+func Example_concurrencyLimit() {
 	d := newDesk(40, 200, "A")
 	d.take("reading", "A1", "A2", "A3", "A4", "A5", "A6")
 	d.at(0)
@@ -1057,7 +1057,7 @@
 
 // Found where connections break under one call in four: each break set its endpoint aside, two made an outage. Now
 // breaks count once the silence since the first is unusual; a once-only push goes on a new connection meanwhile.
-func Example_breaksSingly() {
+func Example_isolatedConnectionBreaks() {
 	d := newDesk(8, 40, "A")
 	for i := range 6 {
 		d.take("reading", "A1")
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -207,14 +207,14 @@
 		}
 		warm := f.returns.InitialCapacity + (1-f.returns.InitialCapacity)*math.Min(1, (first.at-up)/f.returns.WarmUp)
 		n := f.returns.OverloadFactor * warm * f.rate * f.returns.OverloadSpan
-		if over := float64(j-i) - n - chance(n); over > most && 3*told > 2*(j-i) {
+		if over := float64(j-i) - n - maxLimitRefusals(n); over > most && 3*told > 2*(j-i) {
 			most, calls, allowed, at = over, j-i, n, first.at-up
 		}
 	}
 	return calls, allowed, at
 }
 
-func chance(n float64) float64 { return 2*math.Sqrt(n) + 2 }
+func maxLimitRefusals(n float64) float64 { return 2*math.Sqrt(n) + 2 }
 
 // terms are what three deployments' settings say of returns, with calls a second that one of their destinations takes.
 var terms = []fleet{
@@ -235,7 +235,7 @@
 			for seed := range seeds {
 				arrived := fleetDay(f, seed)
 				calls, allowed, _ := worst(f, arrived)
-				if float64(calls) > allowed+chance(allowed) {
+				if float64(calls) > allowed+maxLimitRefusals(allowed) {
 					broke++
 				}
 				for _, a := range arrived {
--- a/decide/health.go
+++ b/decide/health.go
@@ -6,221 +6,237 @@
 	"slices"
 )
 
-// Health: what the ends of pushes tell of endpoints and their destinations. A destination that does not answer is an outlier and
-// is ejected until a trial is answered.
+// Outlier detection: the outcomes of pushes show the health of endpoints and of their destinations. A destination that does
+// not answer is ejected until a trial push is answered.
 
 const (
-	unusual     = 6.0  // silence of so many mean gaps is unusual
-	slowed      = 3.0  // and so many mean answer times
-	shutAfter   = 2.0  // refusals for so long with no delivery are an outage, not a limit
-	chance      = 2    // so many refusals in a row may be of a limit that others have used up
-	ample       = 0.4  // a route that refuses with so much of its limit left is no longer just at its limit
-	shunned     = 15.0 // for this and a random part an endpoint gets no topic type that it failed, if others can
-	justServed  = 8.0  // at once, if it delivered none of it for this; else after two failures in a row
-	firstOutage = 0.6  // of first failures are of outages, as far as nothing was seen
-	firstWeight = 2.0  // and so many seen would weigh as much
-	fates       = 64   // pushes kept by when they were sent
+	silentGaps         = 6.0  // silence of so many mean answer gaps is unusual
+	silentLatencies    = 3.0  // silence of so many mean latencies is unusual
+	refusalOutageAfter = 2.0  // seconds of refusals without a delivery that are treated as an outage rather than a limit
+	maxLimitRefusals   = 2    // refusals in a row that may come from a limit which others have used up
+	ampleLimitLeft     = 0.4  // share of the limit left above which a refusal is unlikely to come from the limit
+	topicAvoidance     = 15.0 // seconds, plus up to as much at random, without a topic that the endpoint failed, if others can take it
+	topicServedSpan    = 8.0  // seconds after a delivery of a topic in which one failure alone does not count
+	priorOutageShare   = 0.6  // share of first failures that are assumed to be outages before any have been classified
+	priorOutageWeight  = 2.0  // weight of priorOutageShare, in classified first failures
+	maxSendOutcomes    = 64   // pushes kept by the time they were sent
 )
 
-// learn takes in an outcome: the throttle's report, refusals, and health.
-func (m *Scheduler) learn(now float64, c *call, h *held, o Outcome) {
-	g := c.gate
+// recordOutcome updates the throttle and the health of the endpoint from the outcome of a push.
+func (s *Scheduler) recordOutcome(now float64, c *call, h *heldNotification, o Outcome) {
+	t := c.throttle
 	if o.LimitReported {
-		g.limit, g.allowance = o.Limit, o.LimitLeft*o.Limit
+		t.limit, t.allowance = o.Limit, o.LimitLeft*o.Limit
 		if o.Limit == 0 && o.LimitLeft == 0 {
-			g.allowance = never
-		} else if o.Result == Delivered && !g.recovering {
-			m.learnUsage(g, o.LimitLeft)
+			t.allowance = never
+		} else if o.Result == Delivered && !t.recovering {
+			s.recordUsage(t, o.LimitLeft)
 		}
 	}
 	switch o.Result {
 	case Delivered:
-		m.delivered(now, c, h, o)
+		s.recordDelivery(now, c, h, o)
 	case Throttled:
-		m.turnedAway(now, c, o)
+		s.recordRefusal(now, c, o)
 	case Failed, TimedOut, NotConnected, Reset:
-		m.broke(now, c, h, o)
+		s.recordFailure(now, c, h, o)
 	}
 }
 
-// delivered takes in an answer that delivered.
-func (m *Scheduler) delivered(now float64, c *call, h *held, o Outcome) {
-	g, end := c.gate, c.end
-	end.gaps = last(end.gaps, now-max(end.heard, c.at), kept)
-	end.lasted = last(end.lasted, o.Latency, kept)
-	m.lasted = last(m.lasted, o.Latency, kept)
-	end.heard, end.rank = now, now
-	end.topics[h.Topic] = passing{served: now}
-	end.most += climb / end.most
-	g.ended = last(g.ended, mark{now, 0}, many)
-	g.refused, g.inRow, g.turned = never, 0, last(g.turned, 0, recent)
-	g.proof, g.heard = max(g.proof, c.at), now
-	g.fates = last(g.fates, mark{c.at, 0}, fates)
-	m.judgeFirst(g, false)
-	if g.down() {
-		g.upSince, g.answered = m.returnedAt(now, g), now
-		g.full, g.turned, end.most = -never, nil, never // its refusals were the outage's, and tell of no limit
-		m.down = slices.DeleteFunc(m.down, func(x *gate) bool { return x == g })
+// recordDelivery records an answer that delivered the notification.
+func (s *Scheduler) recordDelivery(now float64, c *call, h *heldNotification, o Outcome) {
+	t, ep := c.throttle, c.endpoint
+	ep.answerGaps = appendLast(ep.answerGaps, now-max(ep.lastAnswer, c.startedAt), maxSamples)
+	ep.latencies = appendLast(ep.latencies, o.Latency, maxSamples)
+	s.latencies = appendLast(s.latencies, o.Latency, maxSamples)
+	ep.lastAnswer, ep.preference = now, now
+	ep.topics[h.Topic] = topicHealth{lastDelivery: now}
+	ep.maxCalls += paceGrowth / ep.maxCalls
+	t.outcomes = appendLast(t.outcomes, sample{now, 0}, maxPushSamples)
+	t.refusedSince, t.consecutiveRefusals, t.refusalSamples = never, 0, appendLast(t.refusalSamples, 0, healthSamples)
+	t.lastDeliveredSend, t.lastDelivery = max(t.lastDeliveredSend, c.startedAt), now
+	t.sendOutcomes = appendLast(t.sendOutcomes, sample{c.startedAt, 0}, maxSendOutcomes)
+	s.classifyFirstFailure(t, false)
+	if t.inOutage() {
+		t.respondingSince, t.firstAnswer = s.estimateReturn(now, t), now
+		t.lastRefusal, t.refusalSamples, ep.maxCalls = -never, nil, never // refusals during an outage say nothing about a limit
+		s.outages = slices.DeleteFunc(s.outages, func(x *throttle) bool { return x == t })
 	}
 }
 
-// turnedAway takes in a refusal of the endpoint: a limit, no room for connections, or a destination that is shut.
-func (m *Scheduler) turnedAway(now float64, c *call, o Outcome) {
-	g, end := c.gate, c.end
-	end.heard, end.rank = now, -m.rng.float()
-	if o.TooManyConnections { // no limit was passed: it is the endpoint that has no room, for connections of anybody's
-		m.scarce[end.kind] = now + m.pushes.IdleTimeout
-		end.aside = now + fullStop*(1+m.rng.float())
+// recordRefusal records a refusal: because of a limit, because of too many connections, or in an outage.
+func (s *Scheduler) recordRefusal(now float64, c *call, o Outcome) {
+	t, ep := c.throttle, c.endpoint
+	ep.lastAnswer, ep.preference = now, -s.rng.float()
+	// The endpoint has no room for connections, whoever holds them. That says nothing about a limit of the destination.
+	if o.TooManyConnections {
+		s.connectionsScarceUntil[ep.kind] = now + s.policy.IdleTimeout
+		ep.setAsideUntil = now + defaultRefusalWait*(1+s.rng.float())
 		return
 	}
-	if g.limit == 0 && o.Wait == 0 { // full for what is out: what stays out is what it takes at once
-		end.most = cmp.Or(easing*float64(len(end.calls)), never)
-	}
-	wait := cmp.Or(max(0, o.Wait), fullStop)
-	g.stop = max(g.stop, now+wait)
-	g.refused, g.inRow = min(g.refused, now), g.inRow+1
-	g.full, g.jitter = now, m.rng.float()
-	left := m.routes.SeparateByKind[end.kind] && o.LimitLeft > ample // perhaps no limit refuses: it may be shut
-	if left {
-		g.jitter *= wider
-	}
-	g.turned = last(g.turned, 1, recent)
-	// Others may use the limit up; a shut destination that tells so as well is found a refusal later for it.
-	full := !m.routes.SeparateByKind[end.kind] && o.LimitReported && o.LimitLeft <= ample && g.inRow <= chance
-	if !full && now+wait-g.refused > shutAfter || left && g.refused < now {
-		m.eject(now, g)
+	// Without a limit or a wait, the endpoint refuses because of the calls in flight. Those that remain are what it
+	// accepts; if none remain, the refusal says nothing about that.
+	if t.limit == 0 && o.Wait == 0 {
+		ep.maxCalls = cmp.Or(paceStart*float64(len(ep.calls)), never)
+	}
+	wait := cmp.Or(max(0, o.Wait), defaultRefusalWait)
+	t.blockedUntil = max(t.blockedUntil, now+wait)
+	t.refusedSince, t.consecutiveRefusals = min(t.refusedSince, now), t.consecutiveRefusals+1
+	t.lastRefusal, t.jitter = now, s.rng.float()
+	// With much of the limit left the refusal may come from an outage instead.
+	unlikelyLimit := s.routes.SeparateByKind[ep.kind] && o.LimitLeft > ampleLimitLeft
+	if unlikelyLimit {
+		t.jitter *= shutSpreadFactor
+	}
+	t.refusalSamples = appendLast(t.refusalSamples, 1, healthSamples)
+	// Other dispatchers may have used the limit up. An outage that is reported as an exhausted limit is thus detected one
+	// refusal later.
+	limitExhausted := !s.routes.SeparateByKind[ep.kind] && o.LimitReported && o.LimitLeft <= ampleLimitLeft &&
+		t.consecutiveRefusals <= maxLimitRefusals
+	if !limitExhausted && now+wait-t.refusedSince > refusalOutageAfter || unlikelyLimit && t.refusedSince < now {
+		s.eject(now, t)
 	}
 }
 
-// broke takes in a push that was not answered as it should be.
-func (m *Scheduler) broke(now float64, c *call, h *held, o Outcome) {
-	g, end := c.gate, c.end
+// recordFailure records a push that ended with an error, a timeout, or a failed connection.
+func (s *Scheduler) recordFailure(now float64, c *call, h *heldNotification, o Outcome) {
+	t, ep := c.throttle, c.endpoint
 	if o.Result == NotConnected || o.Result == Reset {
-		m.scarce[end.kind] = now + m.pushes.IdleTimeout
+		s.connectionsScarceUntil[ep.kind] = now + s.policy.IdleTimeout
 	}
-	if h.hurried && o.Result == TimedOut { // it had little time left: its end says nothing of the endpoint
+	if h.timeoutCut && o.Result == TimedOut { // a timeout cut short by the TTL says nothing about the endpoint
 		return
 	}
 	if o.Result == Failed || o.Result == TimedOut {
-		t := end.topics[h.Topic]
-		if t.failed++; t.failed > 1 || now-t.served > justServed { // one alone among deliveries says nothing
-			t.shunned = now + shunned*(1+m.rng.float())
+		health := ep.topics[h.Topic]
+		// A single failure among deliveries says nothing.
+		if health.failures++; health.failures > 1 || now-health.lastDelivery > topicServedSpan {
+			health.avoidedUntil = now + topicAvoidance*(1+s.rng.float())
 		}
-		end.topics[h.Topic] = t
+		ep.topics[h.Topic] = health
 	}
-	// Connections break singly too; those to an endpoint that is down do until its silence is unusual.
-	if end.broke < end.heard {
-		end.broke = now
+	// Single connections break too. Resets count only once the endpoint has been unusually silent since the first failure.
+	if ep.firstFailure < ep.lastAnswer {
+		ep.firstFailure = now
 	}
-	if o.Result == Reset && now-end.broke < unusual*mean(end.gaps, 0) {
+	if o.Result == Reset && now-ep.firstFailure < silentGaps*smoothedMean(ep.answerGaps, 0) {
 		return
 	}
-	if c.judged { // one fate for all in a call
+	if c.failureCounted { // the notifications of a call share one failure
 		return
 	}
-	c.judged = true
-	g.fates = last(g.fates, mark{c.at, 1}, fates)
-	if c.at < g.proof { // old news where a later push was answered
-		if up, over := g.outageOver(c.at); over && o.Result != Failed && !g.recovering {
-			g.recovering, g.upSince, g.answered = true, up, up
+	c.failureCounted = true
+	t.sendOutcomes = appendLast(t.sendOutcomes, sample{c.startedAt, 1}, maxSendOutcomes)
+	if c.startedAt < t.lastDeliveredSend { // a later push was delivered, so this failure says nothing about the present
+		if resumedAt, found := t.outageEnd(c.startedAt); found && o.Result != Failed && !t.recovering {
+			t.recovering, t.respondingSince, t.firstAnswer = true, resumedAt, resumedAt
 		}
 		return
 	}
-	g.ended = last(g.ended, mark{now, 1}, many)
-	g.lostAt, g.took = now, now-c.at
+	t.outcomes = appendLast(t.outcomes, sample{now, 1}, maxPushSamples)
+	t.lastFailure, t.lastFailureDuration = now, now-c.startedAt
 	if o.Result == Failed {
-		end.heard = now
-	} else if o.Result != TimedOut || end.heard < c.at { // one lost among answers says nothing
-		end.aside = now + asideFixed + asideRand*m.rng.float()
-	}
-	m.judgeFirst(g, true)
-	lately := g.ended[max(0, len(g.ended)-recent):]
-	bad, inRow := broken(lately), broken(lately[max(0, len(lately)-2):])
-	again := o.Result == NotConnected && end.broke > end.heard && end.broke < now // a connection broke before, with no answer since
-	switch quiet := g.heard < c.at; {
-	case quiet && (inRow == 2 || again || m.routes.SeparateByKind[end.kind] || m.rng.float() < m.outageOdds(now, c, h, o)): // nothing was delivered while it was out
-		m.eject(now, g)
-	case bad >= 2 && 2*bad >= len(lately) && !g.down(): // most calls fail, not all
-		g.recovering, g.upSince, g.answered = true, now, now
+		ep.lastAnswer = now
+	} else if o.Result != TimedOut || ep.lastAnswer < c.startedAt { // a single timeout among answers says nothing
+		ep.setAsideUntil = now + setAsideBase + setAsideJitter*s.rng.float()
+	}
+	s.classifyFirstFailure(t, true)
+	recentOutcomes := t.outcomes[max(0, len(t.outcomes)-healthSamples):]
+	failures, consecutive := countFailures(recentOutcomes), countFailures(recentOutcomes[max(0, len(recentOutcomes)-2):])
+	// A connection broke earlier and there has been no answer since.
+	failedAgain := o.Result == NotConnected && ep.firstFailure > ep.lastAnswer && ep.firstFailure < now
+	// noDelivery: nothing was delivered while the push was in flight.
+	switch noDelivery := t.lastDelivery < c.startedAt; {
+	case noDelivery && (consecutive == 2 || failedAgain || s.routes.SeparateByKind[ep.kind] ||
+		s.rng.float() < s.outageProbability(now, c, h, o)):
+		s.eject(now, t)
+	case failures >= 2 && 2*failures >= len(recentOutcomes) && !t.inOutage(): // most calls fail, but not all
+		t.recovering, t.respondingSince, t.firstAnswer = true, now, now
 	}
 }
 
-// outageOdds tells how likely a destination's first failure, with nothing delivered while the push was out, is of an outage. Were it
-// taken for none, each dispatcher that met one would make one more call: where few calls come to each, nearly all that
-// reach a destination as it returns. The odds are what first failures that ended alike turned out to be; a time-out cut short says less,
-// and the more answers were to be expected meanwhile the more does their absence.
-func (m *Scheduler) outageOdds(now float64, c *call, h *held, o Outcome) float64 {
-	if o.Result == Failed { // it answers
+// outageProbability returns the probability that a first failure of a destination, with nothing delivered while the push
+// was in flight, is part of an outage. If first failures were never treated as outages, each dispatcher with one would push
+// once more. Where each dispatcher has few calls, those would be nearly all the calls that reach a destination as it
+// returns. The prior is the share of earlier first failures with the same result that were part of an outage; a short
+// timeout lowers it. The probability rises with the number of answers that were due in the meantime.
+func (s *Scheduler) outageProbability(now float64, c *call, h *heldNotification, o Outcome) float64 {
+	if o.Result == Failed { // the destination answers
 		return 0
 	}
-	g, r := c.gate, m.returns
-	if e, ok := m.dir.Find(h.Dest, o.Endpoint); ok && r.OverloadFactor*r.InitialCapacity*m.rate(e, g)*r.OverloadSpan >= float64(r.Dispatchers-1) {
-		return 0 // one call more of each of the others is within the recovery budget
+	t, recovery := c.throttle, s.recovery
+	if e, ok := s.dir.Find(h.Dest, o.Endpoint); ok &&
+		recovery.OverloadFactor*recovery.InitialCapacity*s.destinationRate(e, t)*recovery.OverloadSpan >= float64(recovery.Dispatchers-1) {
+		return 0 // one more call from each other dispatcher is within the recovery budget
 	}
-	g.first = o.Result
-	seen := m.firsts[o.Result]
-	prior := (firstOutage*firstWeight + seen.outages) / (firstWeight + seen.outages + seen.alone)
+	t.firstFailure = o.Result
+	counts := s.firstFailures[o.Result]
+	prior := (priorOutageShare*priorOutageWeight + counts.outages) / (priorOutageWeight + counts.outages + counts.isolated)
 	if o.Result == TimedOut {
-		silence := (now - c.at) / mean(c.end.lasted, mean(m.lasted, 0)) / patience
-		prior *= min(1, silence*silence)
+		silenceRatio := (now - c.startedAt) / smoothedMean(c.endpoint.latencies, smoothedMean(s.latencies, 0)) / timeoutLatencies
+		prior *= min(1, silenceRatio*silenceRatio)
 	}
 	delivered := 0.0
-	for _, s := range g.ended {
-		if s.weight == 0 && s.at > c.at-r.WarmUp && s.at <= c.at {
+	for _, outcome := range t.outcomes {
+		if outcome.weight == 0 && outcome.at > c.startedAt-recovery.WarmUp && outcome.at <= c.startedAt {
 			delivered++
 		}
 	}
-	missed := math.Exp(-delivered / r.WarmUp * (now - c.at)) // so likely none would have come all the same
-	return prior / (prior + (1-prior)*missed)
+	// The probability that no delivery was due while the push was in flight, at the rate of the deliveries before it.
+	chanceOfNone := math.Exp(-delivered / recovery.WarmUp * (now - c.startedAt))
+	return prior / (prior + (1-prior)*chanceOfNone)
 }
 
-// judgeFirst learns what a first failure turned out to be by what followed it.
-func (m *Scheduler) judgeFirst(g *gate, outage bool) {
+// classifyFirstFailure counts the pending first failure of a throttle as part of an outage or as isolated.
+func (s *Scheduler) classifyFirstFailure(t *throttle, outage bool) {
 	switch {
-	case g.first == Delivered:
+	case t.firstFailure == Delivered:
 	case outage:
-		m.firsts[g.first].outages++
+		s.firstFailures[t.firstFailure].outages++
 	default:
-		m.firsts[g.first].alone++
+		s.firstFailures[t.firstFailure].isolated++
 	}
-	g.first = Delivered
+	t.firstFailure = Delivered
 }
 
-// outageOver tells that pushes failed in a row, by when they were sent, before one that was delivered, and when that was
-// sent: an outage shorter than their time-outs is known only after its end. One alone may be lost among answers.
-func (g *gate) outageOver(at float64) (up float64, over bool) {
-	before, after, failed := -never, never, 0
-	for _, f := range g.fates {
+// outageEnd looks for an outage that is already over: several pushes in a row, by the time they were sent, that failed
+// before one that was delivered. It returns when that one was sent and whether there is such an outage. An outage shorter
+// than the timeouts is only found this way. A single failure among answers does not count.
+func (t *throttle) outageEnd(at float64) (resumedAt float64, found bool) {
+	before, after, failures := -never, never, 0
+	for _, f := range t.sendOutcomes {
 		if f.weight == 0 && f.at <= at {
 			before = max(before, f.at)
 		} else if f.weight == 0 {
 			after = min(after, f.at)
 		}
 	}
-	for _, f := range g.fates {
+	for _, f := range t.sendOutcomes {
 		if f.weight > 0 && f.at > before && f.at < after {
-			failed++
+			failures++
 		}
 	}
-	known := before > -never || len(g.fates) < fates // else deliveries between them may be forgotten
-	return after, failed > 1 && after < never && known
+	// Without a delivery before them, deliveries between the failures may have been discarded from the samples.
+	complete := before > -never || len(t.sendOutcomes) < maxSendOutcomes
+	return after, failures > 1 && after < never && complete
 }
 
-// eject notes an outage: the destination does not answer.
-func (m *Scheduler) eject(now float64, g *gate) {
-	if !g.down() {
-		g.lastTrial, g.downSince, g.jitter = now, now, m.rng.float()
-		m.down = append(m.down, g)
+// eject records an outage: the destination does not answer.
+func (s *Scheduler) eject(now float64, t *throttle) {
+	if !t.inOutage() {
+		t.lastTrial, t.outageSince, t.jitter = now, now, s.rng.float()
+		s.outages = append(s.outages, t)
 	}
-	g.recovering, g.upSince = true, never
+	t.recovering, t.respondingSince = true, never
 }
 
-// silent tells that an endpoint's silence is unusual, given the gaps and the answer times seen before. It is
-// counted from the first push since the last answer: an older one still out is lost alone.
-func (m *Scheduler) silent(now float64, end *endpoint) bool {
-	for _, c := range end.calls {
-		if c.at > end.heard {
-			return now-c.at > max(unusual*mean(end.gaps, firstGap), slowed*mean(end.lasted, mean(m.lasted, firstGap)))
+// unusuallySilent reports whether the silence of an endpoint is unusual for its answer gaps and latencies so far. Silence is
+// measured from the first push since the last answer; an older push that is still in flight may be lost by itself.
+func (s *Scheduler) unusuallySilent(now float64, ep *endpoint) bool {
+	for _, c := range ep.calls {
+		if c.startedAt > ep.lastAnswer {
+			return now-c.startedAt > max(silentGaps*smoothedMean(ep.answerGaps, defaultGap),
+				silentLatencies*smoothedMean(ep.latencies, smoothedMean(s.latencies, defaultGap)))
 		}
 	}
 	return false
--- a/decide/lines_test.go
+++ b/decide/lines_test.go
@@ -37,7 +37,7 @@
 // Found on a day of 312 dispatchers (calm+mass of dar-delivery): two refusals 1.8 s apart by a limit told as used up were
 // taken for an outage, and lines of ordered messages stood for seven seconds before a destination that took others'. Two in
 // a row may be of a limit; where it is told to be left, or from the third on, the destination may be shut.
-func Example_usedUp() {
+func Example_exhaustedLimit() {
 	for _, share := range []float64{0, 0.9} {
 		d := newDesk(8, 40, "A")
 		d.take("reading", "A1")
@@ -59,7 +59,7 @@
 
 // Found there too: what waits for the message before it needs no push yet, only room, and was refused where its
 // destination's queue was full. It is taken as long as a tenth of all room is left.
-func Example_line() {
+func Example_orderedKeyAdmission() {
 	d := newDesk(8, 20, "B")
 	d.take("order", "A0", "A1", "A2", "A3", "A4", "A5", "A6", "A7", "A8", "A9")
 	d.take("order", "Ax")
@@ -91,7 +91,7 @@
 }
 
 // A wait that was told after its push had ended binds the destination.
-func Example_toldLate() {
+func Example_lateToldWait() {
 	d := newDesk(8, 40, "A")
 	d.take("reading", "A1")
 	d.at(0)
--- a/decide/recovery.go
+++ b/decide/recovery.go
@@ -2,19 +2,20 @@
 
 import "orchiddrift/directory"
 
-// Topic gives a topic type by name.
-func (m *Scheduler) Topic(name string) Topic { return m.topics[name] }
+// Topic returns the settings of a topic.
+func (s *Scheduler) Topic(name string) Topic { return s.topics[name] }
 
-// KeyCooldown is how long, in seconds, a key rests after a push that may still run.
-func (m *Scheduler) KeyCooldown() float64 { return m.pushes.KeyCooldown }
+// KeyCooldown returns how long, in seconds, a key pauses after a push that may still run.
+func (s *Scheduler) KeyCooldown() float64 { return s.policy.KeyCooldown }
 
-// RecoveryBudget tells how many calls the settings allow an endpoint's destination, or route, in the span given while it is in
-// slow start after an outage that was seen here; false where none was seen, or what it takes is not known.
-func (m *Scheduler) RecoveryBudget(now float64, e directory.Endpoint) (calls, span float64, ok bool) {
-	g := m.gate(e)
-	rate := m.rate(e, g)
-	if !m.slowStart(now, g) || rate <= 0 {
+// RecoveryBudget returns how many calls in the given span, in seconds, the settings allow all dispatchers together for the
+// destination or route of an endpoint in slow start. ok is false if this dispatcher has detected no outage of it, or if its
+// capacity is unknown.
+func (s *Scheduler) RecoveryBudget(now float64, e directory.Endpoint) (calls, span float64, ok bool) {
+	t := s.throttle(e)
+	rate := s.destinationRate(e, t)
+	if !s.inSlowStart(now, t) || rate <= 0 {
 		return 0, 0, false
 	}
-	return m.returns.OverloadFactor * m.warmth(now, g) * rate * m.returns.OverloadSpan, m.returns.OverloadSpan, true
+	return s.recovery.OverloadFactor * s.capacityShare(now, t) * rate * s.recovery.OverloadSpan, s.recovery.OverloadSpan, true
 }
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -7,210 +7,220 @@
 	"orchiddrift/directory"
 )
 
-// Slow start: a destination back from an outage gets no more calls, from all dispatchers together, than the settings allow
-// a cold one. Each dispatcher spends its share of that recovery budget.
+// Slow start: a destination that returns from an outage gets no more calls, from all dispatchers together, than the settings
+// allow for a cold one. Each dispatcher uses its share of that recovery budget.
 
 const (
-	warmAtFirst = 0.5  // of slow start is taken as over at most as a destination answers first
-	budgetPart  = 0.8  // the part of a return budget that is spent
-	usedUp      = 0.05 // of a limit left or less: more may be asked than it gives
-	overUsed    = 1.3  // times the limit, then; and where no answer told
-	leastUsage  = 0.2  // of a limit that is taken as asked, at least
-	mostTrials  = 3.0  // trials of those that hold something may be so many times denser than ones of all
-	leastTrials = 2.0  // and at least so many
-	probeSlots  = 4    // destinations that do not answer get one slot in so many, together
+	maxElapsedShare  = 0.5  // share of slow start that may be counted as elapsed when a destination first answers
+	budgetUse        = 0.8  // share of the recovery budget that is used
+	exhaustedLeft    = 0.05 // share of a limit left below which more may be asked for than the limit allows
+	exhaustedUsage   = 1.3  // usage, in limits, assumed below exhaustedLeft and before any is reported
+	minUsage         = 0.2  // lower bound of the expected usage, as a share of the limit
+	maxTrialDensity  = 3.0  // highest factor on the trial rate for dispatchers without notifications, which do not try
+	minTrialDensity  = 2.0  // lowest factor on the trial rate for dispatchers without notifications
+	trialSlotDivisor = 4    // at most one slot in this many is used for destinations in an outage
 )
 
-// recoveryBudget tells when a recovering destination may get its next push: with the others' no more than a cold one can
-// take. Before it answers again pushes go one at a time, and each dispatcher's come at moments of its own.
-func (m *Scheduler) recoveryBudget(now float64, d *dest, e directory.Endpoint, g *gate) float64 {
-	if g.recovering = m.slowStart(now, g); !g.recovering {
+// recoveryStart returns when the next push may go to a recovering destination, so that all dispatchers together send no
+// more than a cold destination can take. During the outage one push is sent at a time, and jitter spreads the trials of the
+// dispatchers.
+func (s *Scheduler) recoveryStart(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
+	if t.recovering = s.inSlowStart(now, t); !t.recovering {
 		return now
 	}
-	if g.upSince == never {
-		if g.out > 0 || m.probing() >= max(1, m.slots.MaxCalls/probeSlots) {
+	if t.respondingSince == never {
+		if t.inFlight > 0 || s.trialCalls() >= max(1, s.capacity.MaxCalls/trialSlotDivisor) {
 			return never
 		}
-		pause := asideFixed + asideRand*g.jitter
-		if m.routes.SeparateByKind[e.Kind] {
-			return max(g.lastTrial, g.stop) + max(pause, g.jitter/max(m.routeTrials(now, d, e, g), 0.01))
+		pause := setAsideBase + setAsideJitter*t.jitter
+		if s.routes.SeparateByKind[e.Kind] {
+			return max(t.lastTrial, t.blockedUntil) + max(pause, t.jitter/max(s.routeTrialRate(now, d, e, t), 0.01))
 		}
-		return max(m.nextTrial(d, e, g), max(g.lastTrial, g.stop)+pause)
+		return max(s.nextTrialAt(d, e, t), max(t.lastTrial, t.blockedUntil)+pause)
 	}
-	rate := budgetPart * m.returns.OverloadFactor * m.warmth(now, g) * m.cappedShare(now, d, e, g)
-	return m.window(now, g, rate, m.returns.OverloadSpan)
+	rate := budgetUse * s.recovery.OverloadFactor * s.capacityShare(now, t) * s.cappedDemand(now, d, e, t)
+	return s.windowStart(now, t, rate, s.recovery.OverloadSpan)
 }
 
-// slowStart tells that a destination is in an outage or in slow start after it. That lasts its whole span from the first answer here,
-// though the destination may be warm before: what is held goes all at once as it ends.
-func (m *Scheduler) slowStart(now float64, g *gate) bool {
-	return g.recovering && (g.down() || g.answered+m.returns.WarmUp >= now)
+// inSlowStart reports whether a destination is in an outage or in slow start after it. Slow start lasts its whole time from
+// the first answer received here. The destination may be warm earlier, but all that is held is sent at once when slow start
+// ends.
+func (s *Scheduler) inSlowStart(now float64, t *throttle) bool {
+	return t.recovering && (t.inOutage() || t.firstAnswer+s.recovery.WarmUp >= now)
 }
 
-// slowRestart begins slow start for a destination at which a push broke in the process before this one: it may be in an outage, or
-// just back from one, and all that is owed there would go at once. It does so only where this dispatcher's even part of the recovery budget
-// is a call at least in the span of a fall: under that it would starve what a restart finds untried.
-func (m *Scheduler) slowRestart(now float64, ntf Notification) {
-	for _, e := range m.dir.Endpoints(ntf.Dest) {
-		g := m.gate(e)
-		budget := m.returns.OverloadFactor * m.returns.InitialCapacity * m.rate(e, g) * m.returns.OverloadSpan
-		if !g.recovering && !m.routes.SeparateByKind[e.Kind] && m.evenShare(budget) >= 1 {
-			g.recovering, g.upSince, g.answered = true, now, now
+// slowStartAfterRestart begins slow start for a destination to which a push of the previous process failed. It may be in an
+// outage or just back from one, and would otherwise get all restored notifications at once. This applies only where this
+// dispatcher's even share of the recovery budget is at least one call per overload span; with less, notifications that the
+// restart found untried would not be pushed in time.
+func (s *Scheduler) slowStartAfterRestart(now float64, ntf Notification) {
+	for _, e := range s.dir.Endpoints(ntf.Dest) {
+		t := s.throttle(e)
+		budget := s.recovery.OverloadFactor * s.recovery.InitialCapacity * s.destinationRate(e, t) * s.recovery.OverloadSpan
+		if !t.recovering && !s.routes.SeparateByKind[e.Kind] && s.evenShare(budget) >= 1 {
+			t.recovering, t.respondingSince, t.firstAnswer = true, now, now
 		}
 	}
 }
 
-// cappedShare is demandShare, but the even part where more came than chance brings to one dispatcher: all together ask more
-// than the destination takes.
-func (m *Scheduler) cappedShare(now float64, d *dest, e directory.Endpoint, g *gate) float64 {
-	even, span, share := m.evenShare(m.rate(e, g)), max(m.returns.WarmUp, 1), m.demandShare(now, d, e, g)
-	if fair := span * even; fair > 0 && span*share > byChance(fair) {
-		return even
+// cappedDemand returns demandShare, or the even share where more arrived than random variation explains: then all
+// dispatchers together ask for more than the destination can take.
+func (s *Scheduler) cappedDemand(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
+	evenShare, span, demand := s.evenShare(s.destinationRate(e, t)), max(s.recovery.WarmUp, 1), s.demandShare(now, d, e, t)
+	if expected := span * evenShare; expected > 0 && span*demand > chanceBound(expected) {
+		return evenShare
 	}
-	return share
+	return demand
 }
 
-// byChance is how many one dispatcher may get where so many come to each in the mean.
-func byChance(fair float64) float64 { return fair + 1 + math.Sqrt(fair) }
+// chanceBound returns how many arrivals a dispatcher may have by random variation if the mean is expected.
+func chanceBound(expected float64) float64 { return expected + 1 + math.Sqrt(expected) }
 
-// routeTrials is how often a second a route apart that does not answer may be tried. It may be small beside the rest, and what
-// comes for all of its destination may go there.
-func (m *Scheduler) routeTrials(now float64, d *dest, e directory.Endpoint, g *gate) float64 {
-	share := m.cappedShare(now, d, e, g)
-	rate := budgetPart * m.returns.OverloadFactor * m.returns.InitialCapacity * share
-	holds := 1 - math.Exp(-share*(asideFixed+now-g.downSince)) // the share of dispatchers that hold some of it
-	rate *= m.share(e, g) * min(mostTrials, leastTrials/holds) * m.returns.OverloadSpan / (m.returns.OverloadSpan + g.took)
-	return rate / (1 + rider*float64(max(1, min(m.slots.BatchSize[e.Kind], len(d.queue)))-1)) // they go in one call
+// routeTrialRate returns how often per second a separate route in an outage may be tried. The route may be a small part of
+// its destination, while everything that arrived for the destination may go there.
+func (s *Scheduler) routeTrialRate(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
+	demand := s.cappedDemand(now, d, e, t)
+	rate := budgetUse * s.recovery.OverloadFactor * s.recovery.InitialCapacity * demand
+	holdingShare := 1 - math.Exp(-demand*(setAsideBase+now-t.outageSince)) // share of dispatchers that hold a notification for it
+	rate *= s.routeShare(e, t) * min(maxTrialDensity, minTrialDensity/holdingShare) *
+		s.recovery.OverloadSpan / (s.recovery.OverloadSpan + t.lastFailureDuration)
+	return rate / (1 + sharedPushWeight*float64(max(1, min(s.capacity.BatchSize[e.Kind], len(d.queue)))-1)) // they share a call
 }
 
-// nextTrial tells when the next of what is held may try a destination that does not answer. Each held notification draws a wait of
-// its own, exponential and so without memory, at a rate at which the waits of all that came for the destination lately, here and
-// at other dispatchers, come to the recovery budget together.
-func (m *Scheduler) nextTrial(d *dest, e directory.Endpoint, g *gate) float64 {
-	from := max(g.lastTrial, g.stop)
-	recent, sum := 0.0, 0.0
+// nextTrialAt returns when the next held notification may be tried at a destination in an outage. Each held notification
+// draws an exponentially distributed wait, which has no memory. Its rate is such that the trials of all recent arrivals for
+// the destination, here and at other dispatchers, add up to the recovery budget.
+func (s *Scheduler) nextTrialAt(d *destination, e directory.Endpoint, t *throttle) float64 {
+	from := max(t.lastTrial, t.blockedUntil)
+	recentCount, rateSum := 0.0, 0.0
 	for _, h := range d.queue {
-		if from < h.came()+m.trialSpan(h) {
-			recent++
-			sum += 1 / m.trialSpan(h)
+		if from < h.arrivedAt()+s.trialSpan(h) {
+			recentCount++
+			rateSum += 1 / s.trialSpan(h)
 		}
 	}
-	odds := m.returns.OverloadFactor * m.returns.InitialCapacity / m.usage(g) // calls for each notification that is held
-	even, span := m.evenShare(m.rate(e, g)), max(m.returns.WarmUp, 1)
-	if fair := span * even; fair > 0 && recent > byChance(fair) {
-		odds *= byChance(fair) / recent
+	trialsEach := s.recovery.OverloadFactor * s.recovery.InitialCapacity / s.expectedUsage(t) // trials per held notification
+	evenShare, span := s.evenShare(s.destinationRate(e, t)), max(s.recovery.WarmUp, 1)
+	if expected := span * evenShare; expected > 0 && recentCount > chanceBound(expected) {
+		trialsEach *= chanceBound(expected) / recentCount
 	}
-	// An even part goes besides, where as many dispatchers as that hold something.
-	least := budgetPart * m.returns.OverloadFactor * m.returns.InitialCapacity * even * (1 - math.Exp(-even*span))
-	extra := max(0, least-odds*sum) / float64(max(1, len(d.queue)))
-	first := never
+	// Besides, an even share is used, divided among as many dispatchers as are expected to hold a notification.
+	minRate := budgetUse * s.recovery.OverloadFactor * s.recovery.InitialCapacity * evenShare * (1 - math.Exp(-evenShare*span))
+	extraRate := max(0, minRate-trialsEach*rateSum) / float64(max(1, len(d.queue)))
+	earliest := never
 	for _, h := range d.queue {
-		first = min(first, m.trialOf(h, g, from, odds, extra))
+		earliest = min(earliest, s.trialAt(h, t, from, trialsEach, extraRate))
 	}
-	return first
+	return earliest
 }
 
-// trialOf is when h may try a destination from a moment on: at its odds while it counts as recent, at the extra rate alone later.
-func (m *Scheduler) trialOf(h *held, g *gate, from, odds, extra float64) float64 {
-	if h.trialAfter != g.lastTrial {
-		h.trialAfter, h.trialWait = g.lastTrial, -math.Log(1-m.rng.float())
+// trialAt returns when h may be tried, counted from a given time: at its rate while it counts as recent, and at the extra
+// rate alone after that.
+func (s *Scheduler) trialAt(h *heldNotification, t *throttle, from, trialsEach, extraRate float64) float64 {
+	if h.trialWaitDrawnAt != t.lastTrial {
+		h.trialWaitDrawnAt, h.trialWait = t.lastTrial, -math.Log(1-s.rng.float())
 	}
-	begin, until := max(from, h.came()), h.came()+m.trialSpan(h)
-	rate := odds/m.trialSpan(h) + extra
+	begin, recentUntil := max(from, h.arrivedAt()), h.arrivedAt()+s.trialSpan(h)
+	rate := trialsEach/s.trialSpan(h) + extraRate
 	at := begin + h.trialWait/rate
-	if at <= until {
+	if at <= recentUntil {
 		return at
 	}
-	if extra == 0 {
+	if extraRate == 0 {
 		return never
 	}
-	return max(until, begin) + (h.trialWait-max(0, until-begin)*rate)/extra
+	return max(recentUntil, begin) + (h.trialWait-max(0, recentUntil-begin)*rate)/extraRate
 }
 
-// trialSpan is how long, in seconds, a notification counts as recent: no longer than it may be held.
-func (m *Scheduler) trialSpan(h *held) float64 { return max(1, min(h.topic.TTL, m.returns.WarmUp)) }
+// trialSpan returns how long, in seconds, a notification counts as recent, which is no longer than it may be held.
+func (s *Scheduler) trialSpan(h *heldNotification) float64 {
+	return max(1, min(h.topic.TTL, s.recovery.WarmUp))
+}
 
-// usage is the part of its limit that is asked of a destination, as its answers told before an outage; where they told
-// little, as those of all did.
-func (m *Scheduler) usage(g *gate) float64 {
-	return max(leastUsage, mean(g.usage, mean(m.allUsage, overUsed)))
+// expectedUsage returns the share of its limit that is asked of a destination, from answers before the outage. While there
+// are few of those, the answers of all destinations stand in.
+func (s *Scheduler) expectedUsage(t *throttle) float64 {
+	return max(minUsage, smoothedMean(t.usageSamples, smoothedMean(s.usageSamples, exhaustedUsage)))
 }
 
-// learnUsage takes in the part of a limit that an answer told as left, from a destination that is not in slow start.
-func (m *Scheduler) learnUsage(g *gate, left float64) {
-	used := 1 - left
-	if left < usedUp {
-		used = overUsed
+// recordUsage records the share of a limit that is left, as reported by a destination that is not in slow start.
+func (s *Scheduler) recordUsage(t *throttle, limitLeft float64) {
+	used := 1 - limitLeft
+	if limitLeft < exhaustedLeft {
+		used = exhaustedUsage
 	}
-	g.usage = last(g.usage, used, kept)
-	m.allUsage = last(m.allUsage, used, kept)
+	t.usageSamples = appendLast(t.usageSamples, used, maxSamples)
+	s.usageSamples = appendLast(s.usageSamples, used, maxSamples)
 }
 
-// returnedAt estimates since when a destination answers whose first answer came now: halfway back to what failed last, but no
-// longer ago than a part of slow start. Trials may be farther apart than all of it: who found it back first took it for warm.
-func (m *Scheduler) returnedAt(now float64, g *gate) float64 {
-	return max((max(g.lostAt, g.full)+now)/2, now-warmAtFirst*m.returns.WarmUp)
+// estimateReturn estimates when an outage ended whose first answer arrived now: halfway between the last failure or refusal
+// and now, but no longer ago than maxElapsedShare of slow start. Trials may be farther apart than slow start is long, and
+// without that bound the first dispatcher to get an answer would treat the destination as warm.
+func (s *Scheduler) estimateReturn(now float64, t *throttle) float64 {
+	return max((max(t.lastFailure, t.lastRefusal)+now)/2, now-maxElapsedShare*s.recovery.WarmUp)
 }
 
-// warmth is the share of its capacity that a destination in slow start has.
-func (m *Scheduler) warmth(now float64, g *gate) float64 {
-	return m.returns.InitialCapacity + (1-m.returns.InitialCapacity)*max(0, min(1, (now-g.upSince)/m.returns.WarmUp))
+// capacityShare returns the share of its capacity that a destination in slow start has.
+func (s *Scheduler) capacityShare(now float64, t *throttle) float64 {
+	return s.recovery.InitialCapacity + (1-s.recovery.InitialCapacity)*max(0, min(1, (now-t.respondingSince)/s.recovery.WarmUp))
 }
 
-// demandShare is this dispatcher's part of what a destination takes a second: what lately came here for it, or an
-// even part if that is more. Many dispatchers' even parts are far under one call, while their load is uneven.
-func (m *Scheduler) demandShare(now float64, d *dest, e directory.Endpoint, g *gate) float64 {
-	n := 0.0
-	for i := len(d.came) - 1; i >= 0 && d.came[i] > now-m.returns.WarmUp; i-- {
-		n++
+// demandShare returns this dispatcher's share of what a destination can take, in notifications per second: the rate of
+// recent arrivals here, or an even share if that is more. Load differs between dispatchers, and with many of them an even
+// share is far below one call.
+func (s *Scheduler) demandShare(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
+	count := 0.0
+	for i := len(d.arrivals) - 1; i >= 0 && d.arrivals[i] > now-s.recovery.WarmUp; i-- {
+		count++
 	}
-	part := n / max(m.returns.WarmUp, 1)
-	if g.limit > 0 && e.Rate > 0 && !m.returns.RatesUnlisted {
-		part *= min(1, g.limit/e.Rate) // the limit was lowered for all
+	demand := count / max(s.recovery.WarmUp, 1)
+	if t.limit > 0 && e.Rate > 0 && !s.recovery.RatesUnlisted {
+		demand *= min(1, t.limit/e.Rate) // the limit was lowered for all
 	}
-	return max(part, m.evenShare(m.rate(e, g)))
+	return max(demand, s.evenShare(s.destinationRate(e, t)))
 }
 
-// share is a route's part of its destination's ready routes, by the limits told: all that came may be about
-// to go there. A limit not told counts as this one's; where this one's is not told, all are even. An endpoint
-// that is no route apart has all of it.
-func (m *Scheduler) share(e directory.Endpoint, g *gate) float64 {
-	if !m.routes.SeparateByKind[e.Kind] {
+// routeShare returns the share of a route in its destination, from the reported limits of the ready routes, since everything
+// that arrived may be about to go there. A limit that is not reported counts as this one's; if this one's is not, all routes
+// count the same. An endpoint that is not a separate route has a share of 1.
+func (s *Scheduler) routeShare(e directory.Endpoint, t *throttle) float64 {
+	if !s.routes.SeparateByKind[e.Kind] {
 		return 1
 	}
-	own := cmp.Or(g.limit, 1)
-	sum := own
-	for _, x := range m.dir.Endpoints(e.Dest) {
-		if x.ID == e.ID || x.Stage != directory.Ready {
+	ownLimit := cmp.Or(t.limit, 1)
+	sum := ownLimit
+	for _, other := range s.dir.Endpoints(e.Dest) {
+		if other.ID == e.ID || other.Stage != directory.Ready {
 			continue
 		}
-		if limit := m.gate(x).limit; g.limit > 0 && limit > 0 {
+		if limit := s.throttle(other).limit; t.limit > 0 && limit > 0 {
 			sum += limit
 		} else {
-			sum += own
+			sum += ownLimit
 		}
 	}
-	return own / sum
+	return ownLimit / sum
 }
 
-// probing counts the calls out to destinations that do not answer. It guards the slots when several hang.
-func (m *Scheduler) probing() int {
-	n := 0
-	for _, g := range m.down {
-		n += g.out
+// trialCalls returns the number of calls in flight to destinations in an outage. It protects the slots when several hang.
+func (s *Scheduler) trialCalls() int {
+	calls := 0
+	for _, t := range s.outages {
+		calls += t.inFlight
 	}
-	return n
+	return calls
 }
 
-// evenShare is one dispatcher's part of a figure for all.
-func (m *Scheduler) evenShare(all float64) float64 {
-	return all / float64(max(1, m.returns.Dispatchers))
+// evenShare returns one dispatcher's part of a total for all dispatchers.
+func (s *Scheduler) evenShare(total float64) float64 {
+	return total / float64(max(1, s.recovery.Dispatchers))
 }
 
-// rate is what a destination takes a second from all dispatchers, as told last and best.
-func (m *Scheduler) rate(e directory.Endpoint, g *gate) float64 {
-	if g.limit == 0 && !m.returns.RatesUnlisted {
+// destinationRate returns how many calls per second a destination can take from all dispatchers: the limit reported last, or
+// the listed rate.
+func (s *Scheduler) destinationRate(e directory.Endpoint, t *throttle) float64 {
+	if t.limit == 0 && !s.recovery.RatesUnlisted {
 		return e.Rate
 	}
-	return g.limit
+	return t.limit
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -57,7 +57,7 @@
 			defer func() { <-slots }()
 			arrived := fleetDay(f, firstSeed+uint64(i))
 			calls, allowed, at := worst(f, arrived)
-			r := coldDay{fleet: f, calls: calls, most: allowed + chance(allowed), at: at}
+			r := coldDay{fleet: f, calls: calls, most: allowed + maxLimitRefusals(allowed), at: at}
 			for _, a := range arrived {
 				if a.told && a.at < f.back()+early {
 					r.informed++
@@ -198,7 +198,7 @@
 // Of those that reach a destination in the first seconds after its return nearly all had met one failure (35 of 42, 43 of 58 and 14 of
 // 15 in three worst spans): two in a row made an outage, the second push came 1 to 1.5 s after the first, and each first
 // failure so made one more call. Where the calls of all dispatchers are more than it takes cold, one failure is an outage by odds.
-func Example_oneFailure() {
+func Example_firstFailure() {
 	again := func(dispatchers int, o decide.Outcome) (n int) {
 		for seed := range uint64(200) {
 			d := shaped(func(s *shape) { s.returns.Dispatchers, s.seed = dispatchers, seed }, 12, 60, "A")
@@ -229,7 +229,7 @@
 
 // Found as each call was counted: a destination fell 5 to 12 s after its return under dispatchers that took its slow start to be over
 // half a span early, and sent all that they held in one tick (45 dispatchers, 12/s, load 0.9: 66 of 74 calls in 1 s).
-func Example_slowStartLasts() {
+func Example_slowStartDuration() {
 	d := newDesk(12, 60, "A")
 	d.quiet = true
 	d.loses("A1")
--- a/decide/state.go
+++ b/decide/state.go
@@ -9,277 +9,285 @@
 
 var never = math.Inf(1)
 
-// Scheduler decides for one dispatcher.
+// Scheduler makes all decisions of one dispatcher. It has no clock and no goroutines: callers pass the time, in seconds. It
+// is not safe for concurrent use.
 type Scheduler struct {
-	rng      pcg
-	dir      *directory.Directory
-	topics   map[string]Topic
-	top      float64 // highest benefit of a topic type
-	slots    Capacity
-	routes   Routes
-	returns  Recovery
-	pushes   PushPolicy
-	shares   TenantQuotas
-	asked    map[string][]float64 // when each tenant's last notifications came
-	ask      bool                 // the list answers only when asked
-	heard    int                  // updates heard when it was last asked
-	swept    int                  // and when state was last swept
-	nextAsk  float64              // when it is to be asked; never for not
-	held     map[string]*held
-	keys     map[string][]*held
-	keysFrom float64 // no ordered key moves before
-	dests    map[string]*dest
-	gates    map[gateID]*gate
-	ends     map[string]*endpoint
-	round    []*dest
-	pointer  int
-	granted  bool
-	out      int
-	down     []*gate                        // those of destinations that do not answer
-	lasted   []float64                      // the last answer times of all
-	allUsage []float64                      // the parts of limits that answers of all told as used
-	firsts   [PeerMessage + 1]firstFailures // by how they ended
-	worths   float64                        // the benefits of all taken
-	taken    int                            // notifications taken so far
-	idle     []idle                         // connections left open, oldest first
-	scarce   map[string]float64             // by kind: until when idle connections are closed early
+	rng                    pcg
+	dir                    *directory.Directory
+	topics                 map[string]Topic
+	maxBenefit             float64 // highest benefit of a topic
+	capacity               Capacity
+	routes                 Routes
+	recovery               Recovery
+	policy                 PushPolicy
+	quotas                 TenantQuotas
+	tenantArrivals         map[string][]float64 // when the last notifications of each tenant arrived
+	listOnRequest          bool                 // the list is sent only when it is asked for
+	updatesAtRequest       int                  // revision of the list when it was last asked for
+	updatesAtEviction      int                  // revision of the list when unused state was last evicted
+	nextListRequest        float64              // when to ask for the list; never if that is not due
+	held                   map[string]*heldNotification
+	keys                   map[string][]*heldNotification
+	keysBlockedUntil       float64 // no notification with an ordering key starts before
+	destinations           map[string]*destination
+	throttles              map[throttleID]*throttle
+	endpoints              map[string]*endpoint
+	round                  []*destination
+	roundIndex             int
+	quantumGranted         bool
+	callsInFlight          int
+	outages                []*throttle                         // throttles in an outage
+	latencies              []float64                           // latest latencies of all endpoints, in seconds
+	usageSamples           []float64                           // latest usage of limits, of all throttles, as shares
+	firstFailures          [PeerMessage + 1]firstFailureCounts // by the result of the first failure
+	benefitSum             float64                             // sum of the benefits of all notifications taken
+	takenCount             int                                 // number of notifications taken
+	idleEndpoints          []idleEndpoint                      // endpoints that may have idle connections, longest idle first
+	connectionsScarceUntil map[string]float64                  // by kind: idle connections are closed early until then
 }
 
-// held is a notification taken and not yet done with.
-type held struct {
+// heldNotification is a notification that has been taken and is not finished yet. Times are in seconds.
+type heldNotification struct {
 	Notification
-	topic      Topic
-	until      float64 // its TTL ends
-	order      int     // in which all were taken
-	pushes     int
-	call       *call   // the push out, nil for none
-	mayRun     float64 // when the first push that may have run was sent; never for none
-	zone       string  // where that push went
-	rest       float64 // its key rests until then once it is over
-	over       bool
-	ending     bool // over, but its final answer was not heard yet
-	beyond     bool // it came beyond its tenant's share
-	shed       bool // its place was taken by one worth more
-	lastSent   float64
-	lastZone   string  // where its last push went, as listed then: by its end the endpoint may be listed otherwise, or not at all
-	hurried    bool    // its push's time-out was cut to the time left
-	trialAfter float64 // the trial after which its wait for one of its own was drawn
-	trialWait  float64 // and that wait, in mean waits
+	topic            Topic
+	expiresAt        float64 // end of its TTL
+	sequence         int     // position in the order in which notifications were taken
+	pushes           int
+	call             *call   // call of the push in flight, or nil
+	mayHaveRunAt     float64 // when the first push that may have run was sent, or never
+	mayHaveRunZone   string  // zone of the endpoint of that push
+	keyBlockedUntil  float64 // its key is available to others from then on, once it is finished
+	finished         bool
+	noticePending    bool // finished, but the client has not received the final answer yet
+	overQuota        bool // it arrived over its tenant's quota
+	displaced        bool // its place in the queue was given to one that is worth more
+	lastSentAt       float64
+	lastZone         string  // zone of the endpoint of its last push as listed then; the list may change before the push ends
+	timeoutCut       bool    // the timeout of its push was shortened to the time left
+	trialWaitDrawnAt float64 // value of throttle.lastTrial for which trialWait was drawn
+	trialWait        float64 // random wait for a trial of its own, as a multiple of the mean wait
 }
 
-// due is when the objective ends.
-func (h *held) due() float64 { return h.until - h.topic.TTL + h.topic.Objective }
+// objectiveEnd returns the time at which the objective ends.
+func (h *heldNotification) objectiveEnd() float64 {
+	return h.expiresAt - h.topic.TTL + h.topic.Objective
+}
 
-// came is when it came, if with all its time.
-func (h *held) came() float64 { return h.until - h.topic.TTL }
+// arrivedAt returns the time at which the TTL began. A notification that arrived with its whole TTL arrived then.
+func (h *heldNotification) arrivedAt() float64 { return h.expiresAt - h.topic.TTL }
 
-// likeness is what admission depends on beside the destination: notifications that share it are admitted alike.
-type likeness struct{ topic, zone string }
+// admissionClass groups the notifications of a destination that are admitted alike.
+type admissionClass struct{ topic, zone string }
 
-// zoned tells that a push of it may have run, and is known in one zone alone.
-func (h *held) zoned() bool { return h.mayRun != never && h.topic.DedupScope == "zone" }
+// zoneBound reports whether a push may have run and repeats are recognised in the zone of that push only.
+func (h *heldNotification) zoneBound() bool {
+	return h.mayHaveRunAt != never && h.topic.DedupScope == "zone"
+}
 
-// heldTo is the zone that it may be sent to, "" for any.
-func (h *held) heldTo() string {
-	if h.zoned() {
-		return "only " + h.zone
+// requiredZone returns a label of the zone to which the notification is bound, or "" if any will do.
+func (h *heldNotification) requiredZone() string {
+	if h.zoneBound() {
+		return "only " + h.mayHaveRunZone
 	}
 	return ""
 }
 
-// first is the first push that may have run.
-func (h *held) first() FirstRun {
-	if h.mayRun == never {
+// firstRun returns the first push that may have run.
+func (h *heldNotification) firstRun() FirstRun {
+	if h.mayHaveRunAt == never {
 		return FirstRun{}
 	}
-	return FirstRun{SentAt: h.mayRun, Zone: h.zone}
+	return FirstRun{SentAt: h.mayHaveRunAt, Zone: h.mayHaveRunZone}
 }
 
-// done tells that nothing more can come of it.
-func (h *held) done() bool { return h.over && !h.ending && h.call == nil }
+// done reports whether the notification is finished, confirmed and without a push in flight.
+func (h *heldNotification) done() bool { return h.finished && !h.noticePending && h.call == nil }
 
-// rested tells that its key is free of it.
-func (h *held) rested(now float64) bool { return h.done() && h.rest <= now }
+// keyReleased reports whether other notifications with the same key may start.
+func (h *heldNotification) keyReleased(now float64) bool { return h.done() && h.keyBlockedUntil <= now }
 
-func (h *held) ordered() bool { return h.topic.Ordered && h.Key != "" }
+func (h *heldNotification) ordered() bool { return h.topic.Ordered && h.Key != "" }
 
-// call is a call out, shared by the notifications of one turn.
+// call is a call in flight, shared by notifications pushed in the same turn.
 type call struct {
-	end    *endpoint
-	gate   *gate
-	at     float64
-	size   int  // notifications sent in it
-	riders int  // of them without outcome
-	judged bool // its failure was counted
+	endpoint       *endpoint
+	throttle       *throttle
+	startedAt      float64
+	size           int  // notifications in the call
+	pending        int  // notifications without an outcome
+	failureCounted bool // its failure has been recorded, once for the whole call
 }
 
-// dest is a destination's queue.
-type dest struct {
-	id      string
-	queue   []*held
-	came    []float64 // when notifications came
-	deficit float64
-	inRound bool
+// destination is the queue of a destination.
+type destination struct {
+	id       string
+	queue    []*heldNotification
+	arrivals []float64 // times of the latest first tries
+	deficit  float64
+	inRound  bool
 }
 
-// gate is a throttle with the measurements of its destination, or of one route apart.
-type gate struct {
-	out        int
-	stop       float64 // nothing starts before
-	allowance  float64
-	limit      float64   // last told; 0 for none
-	idle       float64   // since when no call is out
-	sent       []mark    // pushes of the last span that budgets look at
-	ended      []mark    // last outcomes: 0 for a delivery, else how it broke
-	refused    float64   // since when all is refused; never for not
-	inRow      int       // refusals since the last delivery
-	usage      []float64 // the parts of its limit that its last answers told as used
-	turned     []float64 // of the last pushes that it took or refused: 1 for a refusal
-	full       float64   // when it last refused; -never for not yet
-	recovering bool      // an outage was seen and the destination may still be cold
-	downSince  float64   // when the outage was seen
-	upSince    float64   // since when it answers again; never for not yet
-	answered   float64   // when it answered first after the outage
-	proof      float64   // when the latest push that was delivered was sent
-	fates      []mark    // the last pushes by when they were sent: 0 for a delivery, 1 for one that broke
-	first      Result    // how its first failure since a delivery ended, while it is not known what it was; Delivered for none
-	heard      float64   // last delivery
-	lostAt     float64   // last broken push
-	took       float64   // and how long that was out
-	lastTrial  float64   // when it was ejected, or sent its last push
-	jitter     float64   // the random part of the time between trials
+// throttle holds the limits and measurements of a destination, or of one endpoint that is a separate route. Times are in
+// seconds.
+type throttle struct {
+	inFlight            int
+	blockedUntil        float64 // no push starts before
+	allowance           float64
+	limit               float64   // last reported limit in calls per second; 0 for none
+	idleSince           float64   // time since which no call has been in flight
+	sentPushes          []sample  // latest pushes by time, with their weight in calls
+	outcomes            []sample  // latest outcomes by time: 0 for a delivery, 1 for a failure
+	refusedSince        float64   // time of the first refusal since the last delivery, or never
+	consecutiveRefusals int       // refusals since the last delivery
+	usageSamples        []float64 // usage of the limit that the latest answers reported, as shares
+	refusalSamples      []float64 // latest pushes that were delivered (0) or refused (1)
+	lastRefusal         float64   // time of the last refusal; -never for none
+	recovering          bool      // in an outage or in slow start after it
+	outageSince         float64   // time at which the outage was detected
+	respondingSince     float64   // estimated end of the outage; never while it lasts
+	firstAnswer         float64   // time of the first answer after the outage
+	lastDeliveredSend   float64   // time at which the latest of the delivered pushes was sent
+	sendOutcomes        []sample  // latest pushes by the time they were sent: 0 for a delivery, 1 for a failure
+	firstFailure        Result    // result of the first failure since a delivery, until classifyFirstFailure; Delivered for none
+	lastDelivery        float64   // time of the last delivery
+	lastFailure         float64   // time of the last failure that was counted
+	lastFailureDuration float64   // duration of the push that failed last
+	lastTrial           float64   // time of the last push, or of the detection of the outage if that is later
+	jitter              float64   // random factor on the time until the next trial, or on the pause after a refusal
 }
 
-// down tells that an outage was seen and nothing was delivered since.
-func (g *gate) down() bool { return g.recovering && g.upSince == never }
+// inOutage reports whether an outage was detected and nothing has been delivered since.
+func (t *throttle) inOutage() bool { return t.recovering && t.respondingSince == never }
 
-// firstFailures counts what first failures turned out to be.
-type firstFailures struct{ outages, alone float64 }
+// firstFailureCounts counts how many first failures turned out to be part of an outage, and how many were isolated.
+type firstFailureCounts struct{ outages, isolated float64 }
 
-type mark struct{ at, weight float64 }
+type sample struct{ at, weight float64 }
 
-// idle is an endpoint that had no call out since then, with the connections left open to it.
-type idle struct {
-	end   *endpoint
-	since float64
+// idleEndpoint is an endpoint that has had no call in flight since then and may have idle connections.
+type idleEndpoint struct {
+	endpoint *endpoint
+	since    float64
 }
 
-// endpoint is what is measured of one endpoint.
+// endpoint holds the calls and measurements of one endpoint. Times are in seconds.
 type endpoint struct {
-	id     string
-	kind   string
-	calls  []*call
-	idle   float64 // when its last call ended
-	rank   float64 // when it last delivered, or at random
-	aside  float64 // set aside until then
-	most   float64 // calls out that it takes at once, learned from refusals; never for not yet
-	heard  float64 // last answer
-	broke  float64 // first push that broke since then
-	gaps   []float64
-	lasted []float64
-	topics map[string]passing // by topic type
-	called float64            // start of the last call
-	apart  []float64          // and how far apart the last ones were
+	id            string
+	kind          string
+	calls         []*call
+	idleSince     float64 // end of its last call
+	preference    float64 // time of its last delivery; before any, or after a refusal, a random number from -1 to 0
+	setAsideUntil float64 // no push is sent to it before
+	maxCalls      float64 // calls in flight that it accepts, derived from refusals; never if unknown
+	lastAnswer    float64 // time of the last answer
+	firstFailure  float64 // time of the first failure since the last answer
+	answerGaps    []float64
+	latencies     []float64
+	topics        map[string]topicHealth // by name
+	lastCallStart float64                // start of its last call
+	callGaps      []float64              // latest times between the starts of two calls
 }
 
-// passing is how an endpoint takes one topic type.
-type passing struct {
-	served  float64 // last delivery
-	failed  int     // failures since
-	shunned float64 // it gets none of the type until then, while others can take it
+// topicHealth describes how an endpoint handles one topic.
+type topicHealth struct {
+	lastDelivery float64 // time of the last delivery, in seconds
+	failures     int     // failures since that delivery
+	avoidedUntil float64 // not pushed to it before, as long as another endpoint can take it
 }
 
-// sweep lets go, after each news of the list, of what no decision can need any more: endpoints and destinations no
-// longer listed, with nothing out or held; their throttles, once no wait runs and no return may still be budgeted;
-// keys at rest; tenants that asked nothing for the span in which their share is read.
-func (m *Scheduler) sweep(now float64) {
-	if m.swept == m.dir.Revision {
+// evictUnused removes, after each update of the list, state that no decision can depend on any more: unlisted endpoints
+// without calls in flight or idle connections; unlisted destinations with an empty queue; the throttles of both, once no
+// wait applies and slow start is over; keys that all notifications have released; and tenants without a notification in
+// the last quotaSpan.
+func (s *Scheduler) evictUnused(now float64) {
+	if s.updatesAtEviction == s.dir.Revision {
 		return
 	}
-	m.swept = m.dir.Revision
-	named := map[string]bool{}
-	for id, d := range m.dests {
-		if !m.dir.KnownDest(id) && len(d.queue) == 0 {
-			delete(m.dests, id)
+	s.updatesAtEviction = s.dir.Revision
+	awaitingClose := map[string]bool{}
+	for id, d := range s.destinations {
+		if !s.dir.KnownDest(id) && len(d.queue) == 0 {
+			delete(s.destinations, id)
 		}
 	}
-	for _, i := range m.idle {
-		named[i.end.id] = true
+	for _, i := range s.idleEndpoints {
+		awaitingClose[i.endpoint.id] = true
 	}
-	for id, e := range m.ends {
-		if !m.dir.Contains(id) && !named[id] && len(e.calls) == 0 {
-			delete(m.ends, id)
+	for id, ep := range s.endpoints {
+		if !s.dir.Contains(id) && !awaitingClose[id] && len(ep.calls) == 0 {
+			delete(s.endpoints, id)
 		}
 	}
-	for id, g := range m.gates {
-		listed := id.shared && m.dir.KnownDest(id.of) || !id.shared && m.dir.Contains(id.of)
-		if !listed && g.out == 0 && g.stop <= now && !m.slowStart(now, g) {
-			delete(m.gates, id)
+	for id, t := range s.throttles {
+		listed := id.shared && s.dir.KnownDest(id.owner) || !id.shared && s.dir.Contains(id.owner)
+		if !listed && t.inFlight == 0 && t.blockedUntil <= now && !s.inSlowStart(now, t) {
+			delete(s.throttles, id)
 		}
 	}
-	for key, list := range m.keys {
-		if !slices.ContainsFunc(list, func(h *held) bool { return !h.rested(now) }) {
-			delete(m.keys, key)
+	for key, list := range s.keys {
+		if !slices.ContainsFunc(list, func(h *heldNotification) bool { return !h.keyReleased(now) }) {
+			delete(s.keys, key)
 		}
 	}
-	for tenant, asked := range m.asked {
-		if asked[len(asked)-1] <= now-shareSpan {
-			delete(m.asked, tenant)
+	for tenant, arrivals := range s.tenantArrivals {
+		if arrivals[len(arrivals)-1] <= now-quotaSpan {
+			delete(s.tenantArrivals, tenant)
 		}
 	}
 }
 
-// settle forgets a notification that is over, once its push has an outcome and its key has rested.
-func (m *Scheduler) settle(now float64, h *held) {
+// release removes a notification that is done, and from its key those that have released it.
+func (s *Scheduler) release(now float64, h *heldNotification) {
 	if !h.done() {
 		return
 	}
-	delete(m.held, h.ID)
+	delete(s.held, h.ID)
 	if !h.ordered() {
 		return
 	}
-	rested := func(x *held) bool { return x.rested(now) }
-	m.keys[h.Key] = slices.DeleteFunc(m.keys[h.Key], rested)
+	rested := func(x *heldNotification) bool { return x.keyReleased(now) }
+	s.keys[h.Key] = slices.DeleteFunc(s.keys[h.Key], rested)
 }
 
-// gateID names a throttle: of a destination, whose endpoints share it, or of an endpoint that is a route apart.
-type gateID struct {
-	of     string
+// throttleID identifies a throttle: that of a destination, shared by its endpoints, or that of an endpoint which is a
+// separate route.
+type throttleID struct {
+	owner  string
 	shared bool
 }
 
-func (m *Scheduler) dest(id string) *dest {
-	if m.dests[id] == nil {
-		m.dests[id] = &dest{id: id}
+func (s *Scheduler) destination(id string) *destination {
+	if s.destinations[id] == nil {
+		s.destinations[id] = &destination{id: id}
 	}
-	return m.dests[id]
+	return s.destinations[id]
 }
 
-func (m *Scheduler) gate(e directory.Endpoint) *gate {
-	id := gateID{of: e.Dest, shared: true}
-	if m.routes.SeparateByKind[e.Kind] {
-		id = gateID{of: e.ID}
+func (s *Scheduler) throttle(e directory.Endpoint) *throttle {
+	id := throttleID{owner: e.Dest, shared: true}
+	if s.routes.SeparateByKind[e.Kind] {
+		id = throttleID{owner: e.ID}
 	}
-	g := m.gates[id]
-	if g == nil {
-		g = &gate{allowance: never, refused: never, full: -never, upSince: never}
-		m.gates[id] = g
+	t := s.throttles[id]
+	if t == nil {
+		t = &throttle{allowance: never, refusedSince: never, lastRefusal: -never, respondingSince: never}
+		s.throttles[id] = t
 	}
-	return g
+	return t
 }
 
-func (m *Scheduler) end(id string) *endpoint {
-	e := m.ends[id]
-	if e == nil {
-		e = &endpoint{id: id, rank: -m.rng.float(), most: never, topics: map[string]passing{}}
-		m.ends[id] = e
+func (s *Scheduler) endpoint(id string) *endpoint {
+	ep := s.endpoints[id]
+	if ep == nil {
+		ep = &endpoint{id: id, preference: -s.rng.float(), maxCalls: never, topics: map[string]topicHealth{}}
+		s.endpoints[id] = ep
 	}
-	return e
+	return ep
 }
 
-// zone is that of an endpoint as listed now, for pushes of which nobody kept it.
-func (m *Scheduler) zone(dest, id string) string {
-	for _, e := range m.dir.Endpoints(dest) {
+// listedZone returns the zone in which an endpoint is listed now. It stands in where the zone of a push was not recorded.
+func (s *Scheduler) listedZone(destID, id string) string {
+	for _, e := range s.dir.Endpoints(destID) {
 		if e.ID == id {
 			return e.Zone
 		}
@@ -287,34 +295,34 @@
 	return ""
 }
 
-// TTL gives a topic type's, and tells whether it is among the settings.
-func (m *Scheduler) TTL(topic string) (float64, bool) { t, ok := m.topics[topic]; return t.TTL, ok }
+// TTL returns the TTL of a topic in seconds, and reports whether the topic exists.
+func (s *Scheduler) TTL(topic string) (float64, bool) { t, ok := s.topics[topic]; return t.TTL, ok }
 
-// last appends a sample and keeps the newest n.
-func last[T any](s []T, v T, n int) []T {
+// appendLast appends v and keeps the latest n elements.
+func appendLast[T any](s []T, v T, n int) []T {
 	s = append(s, v)
 	return s[max(0, len(s)-n):]
 }
 
-// mean of the samples, with other standing in for two more.
-func mean(s []float64, other float64) float64 {
-	sum := 2 * other
+// smoothedMean returns the mean of the samples and of two more that equal prior.
+func smoothedMean(s []float64, prior float64) float64 {
+	sum := 2 * prior
 	for _, v := range s {
 		sum += v
 	}
 	return sum / float64(len(s)+2)
 }
 
-// broken counts the outcomes that broke.
-func broken(ended []mark) int {
+// countFailures returns the number of failures among outcomes.
+func countFailures(outcomes []sample) int {
 	n := 0
-	for _, s := range ended {
+	for _, s := range outcomes {
 		n += int(s.weight)
 	}
 	return n
 }
 
-// pcg is the permuted congruential generator PCG-XSH-RR 64/32.
+// pcg is the random number generator PCG-XSH-RR 64/32.
 type pcg struct{ state uint64 }
 
 func (p *pcg) float() float64 {
--- a/decide/state_test.go
+++ b/decide/state_test.go
@@ -8,7 +8,7 @@
 
 // What is kept of endpoints, destinations, throttles, keys and tenants goes once the list, a told wait, an outage
 // seen and a resting key need it no more.
-func Example_forgets() {
+func Example_evictUnused() {
 	dir := directory.New()
 	m := New(7, dir, []Topic{{Name: "order", Repeat: OnceOnly, TTL: 20, Objective: 2, Benefit: 1, Ordered: true}},
 		Capacity{MaxCalls: 40, MaxHeld: 40}, Routes{}, Recovery{WarmUp: 10, Dispatchers: 1},
@@ -23,7 +23,7 @@
 		for wait, id := m.NextTurn(now); wait == 0 && id == ""; wait, id = m.NextTurn(now) {
 			m.Place(now, Notification{})
 		}
-		fmt.Println(now, len(m.ends), len(m.dests), len(m.gates), len(m.keys), len(m.asked))
+		fmt.Println(now, len(m.endpoints), len(m.destinations), len(m.throttles), len(m.keys), len(m.tenantArrivals))
 	}
 	list(0, directory.Ready)
 	for _, id := range []string{"A", "B", "C", "D"} {
--- a/decide/types.go
+++ b/decide/types.go
@@ -1,67 +1,70 @@
 package decide
 
-// RepeatPolicy tells what a topic type allows once a push may have run.
+// RepeatPolicy says whether a notification of a topic may be pushed again once a push of it may have run.
 type RepeatPolicy string
 
-// The kinds of topic type, as the wire spells them.
+// The repeat policies, with their values in the settings and on the wire. A Repeatable notification may run any number of
+// times. Endpoints discard repeats of a Collapsible one by its idempotency key, within the topic's DedupWindow and
+// DedupScope. A OnceOnly one is not pushed again once a push of it may have run.
 const (
 	Repeatable  RepeatPolicy = "free"
 	Collapsible RepeatPolicy = "guarded"
 	OnceOnly    RepeatPolicy = "single_shot"
 )
 
-// Topic is a topic type: what its notifications are worth and what they allow. Times are in seconds.
+// Topic holds the settings of a topic. Times are in seconds.
 type Topic struct {
 	Name             string
 	Repeat           RepeatPolicy
-	DedupWindow      float64 // collapsible: how long a repeat is known, from the first push that may have run
-	DedupScope       string  // collapsible: "all" endpoints of the destination know it, or those of one "zone"
-	Objective        float64 // delivered within this time it earns its full benefit
+	DedupWindow      float64 // Collapsible: repeats are recognised for this long after the first push that may have run
+	DedupScope       string  // Collapsible: repeats are recognised by "all" endpoints of the destination, or by those of one "zone"
+	Objective        float64 // a delivery within this time earns the full benefit
 	TTL              float64
 	Benefit          float64
-	LateBenefit      float64 // the share of the benefit left at the TTL
-	ExponentialDecay bool    // it falls to that by half with each further objective, not in a line
-	Ordered          bool    // notifications of one key go one at a time, in the order taken
+	LateBenefit      float64 // share of the benefit that a delivery at the TTL earns
+	ExponentialDecay bool    // the benefit halves with each further objective, down to LateBenefit; otherwise it falls linearly
+	Ordered          bool    // notifications with the same key are pushed one at a time, in the order taken
 }
 
-// Notification is what the adapter hands to Place; the empty one asks for the module's own errands.
+// Notification is the input of Scheduler.Place. The empty Notification asks for the maintenance that is due.
 type Notification struct {
 	ID       string
 	Topic    string
 	Tenant   string
 	Dest     string
-	Key      string  // of the order; "" for none
-	TimeLeft float64 // seconds in which it may still be delivered, when it came in
+	Key      string  // ordering key; "" for none
+	TimeLeft float64 // time until the TTL ends, in seconds, when the notification arrives
 
-	// What a dispatcher that restarts still owes comes with what became of it before.
+	// The fields below describe a notification that a restarted dispatcher has read back from its ledger.
 	Restored       bool
-	NoticePending  bool    // its notice is not answered yet; that is all it needs
-	Pushes         int     // pushes used
-	RanAt          float64 // when the first push that may have run was sent, 0 for none
-	RanTo          string  // where to
-	RanZone        string  // and that endpoint's zone then; "" where that was not kept
-	LastPushFailed bool    // its last push broke: it ended with no answer that delivered
+	NoticePending  bool    // it has its final answer, and only the notice of that is still unacknowledged
+	Pushes         int     // pushes already used
+	RanAt          float64 // time at which the first push that may have run was sent, in seconds; 0 for none
+	RanTo          string  // endpoint of that push
+	RanZone        string  // zone of that endpoint at the time; "" if not recorded
+	LastPushFailed bool    // its last push ended without an answer that delivered it
 }
 
-// Result tells how a push ended.
+// Result says how a push ended.
 type Result int
 
-// The results; those after Delivered up to NoSlot keep the wire's meaning.
+// The results of a push. Throttled to NotAttempted have the numbers of the wire's completion codes.
 const (
 	Delivered    Result = iota
 	Failed              // answered with an error: may have run
-	Throttled           // turned away unseen: never ran
+	Throttled           // rejected before processing: has not run
 	TimedOut            // no answer in time: may have run
-	NotConnected        // no connection: never ran
+	NotConnected        // no connection: has not run
 	Reset               // the connection broke: may have run
-	Cancelled           // called off: may have run
-	NotAttempted        // not sent at all
-	Withdrawn           // nobody wants the notification any more, or its final answer was heard
-	PeerMessage         // a note from another dispatcher
+	Cancelled           // cancelled by the dispatcher: may have run
+	NotAttempted        // not sent, or not run for a reason that says nothing about the endpoint
+	Withdrawn           // the client no longer wants the notification, or has received its final answer
+	PeerMessage         // a message from another dispatcher
 )
 
-// Outcome is what the adapter hands to After. Ntf is empty for the result of a probe or a note, and for a Wait that an
-// Endpoint of Dest told after its push had ended.
+// Outcome is the input of Scheduler.HandleOutcome. Latency is the time from the start of the push to its end, in seconds.
+// NotificationID is empty for the result of a probe, for a message from
+// another dispatcher, and for a Wait that Endpoint of Dest told after its push had ended.
 type Outcome struct {
 	NotificationID     string
 	Dest               string
@@ -70,87 +73,89 @@
 	Final              bool // the notification has its final answer
 	Endpoint           string
 	Latency            float64
-	Wait               float64 // the wait told, 0 for none
-	TooManyConnections bool    // Throttled: the endpoint holds no more connections, and closed this one
-	NoSlot             bool    // Moot: every slot was taken
-	Unsent             bool    // Moot: it was handed back before a byte was sent, and counts as no push
-	NoMorePushes       bool    // Moot: no further push of it will be taken
-	LimitReported      bool    // Share and Limit were told
-	LimitLeft          float64 // of the limit, left just now
-	Limit              float64 // calls a second
+	Wait               float64 // the wait that the endpoint told, in seconds; 0 for none
+	TooManyConnections bool    // Throttled: the endpoint holds no more connections and closed this one
+	NoSlot             bool    // NotAttempted: all slots were taken
+	Unsent             bool    // NotAttempted: returned before the first byte was sent; does not count as a push
+	NoMorePushes       bool    // NotAttempted: no further push of the notification can be accepted
+	LimitReported      bool    // LimitLeft and Limit were reported
+	LimitLeft          float64 // share of Limit that is left, 0 to 1
+	Limit              float64 // calls per second
 }
 
-// Action is what an answer asks for.
+// Action is what a Decision asks the caller to do.
 type Action int
 
-// What the module can answer.
+// The actions of a Decision.
 const (
-	Hold          Action = iota // not yet, or nothing
-	Push                        // send Ntf to Endpoint, waiting Timeout
-	Throttle                    // final: not delivered, may safely come again, best after RetryIn
-	Expire                      // final: given up, with no promise
-	CancelPush                  // stop waiting for the push numbered Push of Ntf
+	Hold          Action = iota // do nothing for now
+	Push                        // send NotificationID to Endpoint and wait up to Timeout for the answer
+	Throttle                    // final answer: not delivered and safe to submit again, preferably after RetryIn
+	Expire                      // final answer: given up; it may have run and is not safe to submit again
+	CancelPush                  // stop waiting for push PushNumber of NotificationID
 	ProbeEndpoint               // check Endpoint
-	WatchList                   // follow the list
-	FetchList                   // ask for the whole list once
+	WatchList                   // watch the list of endpoints
+	FetchList                   // fetch the whole list of endpoints once
 	Broadcast                   // send Body to every other dispatcher
 	CloseIdle                   // close the idle connections to Endpoint
 )
 
-// Decision is what the module answers.
+// Decision is what the Scheduler asks its caller to do. Durations are in seconds.
 type Decision struct {
 	Action         Action
 	NotificationID string
 	Endpoint       string
 	Timeout        float64
-	AnswerValidFor float64  // Push: an answer counts for so long, whoever shares the call
-	StartWithin    float64  // Push: it is to start within this, or to be given back; +Inf for no bound of its own
-	NewConnection  bool     // Push: on a new connection
-	FirstRun       FirstRun // Push: the first push of it that may have run
+	AnswerValidFor float64  // Push: an answer within this time counts, also for the other notifications of the call
+	StartWithin    float64  // Push: it starts within this time or is returned unsent; +Inf if unbounded
+	NewConnection  bool     // Push: use a new connection
+	FirstRun       FirstRun // Push: the first push of the notification that may have run
 	RetryIn        float64
 	PushNumber     int
 	Body           string
 }
 
-// FirstRun is the first push of a notification that may have run.
+// FirstRun identifies the first push of a notification that may have run.
 type FirstRun struct {
-	SentAt float64 // when it was sent; 0 for none
-	Zone   string  // the zone that it was sent to
+	SentAt float64 // time at which it was sent, in seconds; 0 for none
+	Zone   string  // zone of the endpoint it was sent to
 }
 
-// Capacity says how much may be out and held at once.
+// Capacity limits what a dispatcher has in progress at once.
 type Capacity struct {
-	MaxCalls  int            // calls out
+	MaxCalls  int            // calls in flight
 	MaxHeld   int            // notifications held
-	BatchSize map[string]int // by kind: notifications that share a call
+	BatchSize map[string]int // by kind: most notifications in one call
 }
 
-// Routes says which kinds' endpoints are routes apart, what a notification costs by zone, and whether pushes that
-// are refused cost nothing.
+// Routes describes how endpoints are throttled and what pushes cost. SeparateByKind says which kinds of endpoints are routes
+// of their own, throttled apart from the other endpoints of their destination. FeeByZone is the cost of a push to an endpoint
+// of a zone. With FreeRefusals a refused push costs nothing.
 type Routes struct {
 	SeparateByKind map[string]bool
 	FeeByZone      map[string]float64
 	FreeRefusals   bool
 }
 
-// Recovery says what a destination back from an outage can take.
+// Recovery describes what a destination can take as it returns from an outage, from all Dispatchers together. Times are in
+// seconds.
 type Recovery struct {
-	InitialCapacity, WarmUp      float64 // the share of capacity it starts with, and the time until all is back
-	OverloadFactor, OverloadSpan float64 // sent more than this multiple of its capacity for this time, it falls
+	InitialCapacity, WarmUp      float64 // share of capacity at its return, and time until it has all of it
+	OverloadFactor, OverloadSpan float64 // it fails again if sent more than OverloadFactor times its capacity for OverloadSpan
 	Dispatchers                  int
-	RatesUnlisted                bool // the list tells no rates
+	RatesUnlisted                bool // the list of endpoints has no rates
 }
 
-// PushPolicy says how often a notification may be pushed, and when.
+// PushPolicy limits how often (MaxPushes) and when a notification is pushed. Times are in seconds.
 type PushPolicy struct {
 	MaxPushes   int
-	KeyCooldown float64 // the rest of a key after a push that may still run
-	Tick        float64 // the least time between two batches
-	IdleTimeout float64 // a connection without use closes by itself after this
+	KeyCooldown float64 // pause of a key after a push that may still run
+	Tick        float64 // least time between two batches of decisions
+	IdleTimeout float64 // connections are closed after this time without use
 }
 
-// TenantQuotas says what tenants may ask, and what is left of the benefit beyond that.
+// TenantQuotas limits what tenants may submit.
 type TenantQuotas struct {
-	Rate             map[string]float64 // notifications a second, over all dispatchers
-	OverQuotaBenefit float64            // share of the benefit
+	Rate             map[string]float64 // by tenant: notifications per second, over all dispatchers
+	OverQuotaBenefit float64            // share of the benefit that a notification beyond its tenant's quota earns
 }
