--- a/decide/decide.go
+++ b/decide/decide.go
@@ -29,11 +29,11 @@
 
 const (
 	quantum              = 1.0  // deficit granted per visit, times the weight of the destination
-	reservedShare        = 0.1  // share of a limit that low-benefit topics leave free; also of the room, for notifications that wait for a key
-	defaultRefusalWait   = 0.5  // seconds without pushes after a refusal that told no wait
+	reservedShare        = 0.1  // share of a limit, kept from low-benefit topics, and of the room, kept from notifications that wait for a key
+	defaultRefusalWait   = 0.5  // seconds without pushes after a refusal that told no wait, or, with jitter, after one for too many connections
 	allowanceTTL         = 1.0  // seconds without a call in flight after which an allowance is discarded
-	setAsideBase         = 1.0  // seconds for which an endpoint is set aside at least
-	setAsideJitter       = 0.5  // seconds, the upper bound of the random part added to setAsideBase
+	setAsideBase         = 1.0  // seconds for which an endpoint is set aside, and between two trials, at least
+	setAsideJitter       = 0.5  // seconds, the upper bound of the random part added to setAsideBase; lists are requested again after one to two times this
 	defaultGap           = 0.5  // seconds, the gap or latency assumed before there are samples
 	maxSamples           = 16   // samples kept in each series of latencies, gaps and usage
 	maxPushSamples       = 256  // pushes and arrivals kept in each series
@@ -46,15 +46,15 @@
 	defaultIdleTimeout   = 5.0  // seconds for which idle connections are kept at most while they are not scarce
 	paceWindow           = 0.5  // seconds in each of which pushes keep to the pace
 	resendSpread         = 1.2  // refused pushes of all dispatchers are spread over this many overload spans
-	shutSpreadFactor     = 4.0  // factor on resendSpread after a refusal with much of the limit left
+	unlikelyLimitSpread  = 4.0  // factor on resendSpread after a refusal with much of the limit left
 	acceptedWindow       = 2.0  // seconds before a refusal over which accepted pushes are counted
-	paceGrowth           = 0.03 // growth of the pace per second, as a share of its start; maxCalls grows by it in maxCalls deliveries
+	paceGrowth           = 0.03 // growth of the pace per second, as a share of its start; also of maxCalls, in maxCalls deliveries
 	paceStart            = 0.9  // start of the pace, and of maxCalls, as a share of what was accepted
 	freeRefusalThreshold = 0.5  // share of refused pushes from which a destination is paced where refusals cost nothing
 )
 
 // New returns a Scheduler that holds no notifications. The seed starts its random numbers; listOnRequest says that the
-// list of endpoints is sent only when it is asked for.
+// list of endpoints is sent only on request.
 func New(seed uint64, dir *directory.Directory, topics []Topic, capacity Capacity, routes Routes, recovery Recovery,
 	policy PushPolicy, quotas TenantQuotas, listOnRequest bool) *Scheduler {
 	s := &Scheduler{rng: pcg{state: seed}, dir: dir, topics: map[string]Topic{}, capacity: capacity, routes: routes,
@@ -76,7 +76,7 @@
 func (s *Scheduler) Place(now float64, ntf Notification) Decision {
 	if ntf.ID == "" {
 		if s.nextListRequest <= now {
-			s.updatesAtRequest, s.nextListRequest = s.dir.Revision, never
+			s.revisionAtRequest, s.nextListRequest = s.dir.Revision, never
 			return Decision{Action: WatchList}
 		}
 		i := slices.IndexFunc(s.idleEndpoints, func(i idleEndpoint) bool { return s.idleCloseAt(now, i) <= now })
@@ -294,8 +294,8 @@
 	return nil, next
 }
 
-// weight returns the factor on the quantum of a destination: the benefit of h, the notification that is next, times the
-// largest batch, so that one turn can fill a shared call.
+// weight returns the factor on the quantum of a destination: the benefit of h, the notification that is next, but at least
+// 1, times the largest batch, so that one turn can fill a shared call.
 func (s *Scheduler) weight(d *destination, h *heldNotification) float64 {
 	batch := 1
 	for _, e := range s.dir.Endpoints(d.id) {
@@ -307,10 +307,11 @@
 // firstReady returns the first notification of a queue that may start now, or nil and the time at which one may start.
 func (s *Scheduler) firstReady(now float64, d *destination) (*heldNotification, float64) {
 	next := never
-	// Set once a notification that may go to any endpoint was not admitted: then no other is, or none of a low-benefit topic.
+	// A notification that cannot have run may go to any endpoint. If one is not admitted, no other is (blocked), or, if its
+	// topic has a low benefit, none of such a topic (blockedLow).
 	blocked, blockedLow := false, false
 	var blockedClasses []admissionClass
-	// Where the benefit decays exponentially, a notification past its objective loses little more by waiting.
+	// Where the benefit decays exponentially, notifications past their objective lose little more by waiting and come last.
 	firstTimely := slices.IndexFunc(d.queue, func(h *heldNotification) bool {
 		return !h.topic.ExponentialDecay || h.objectiveEnd() > now
 	})
@@ -436,7 +437,7 @@
 	return max(1, s.capacity.MaxCalls*3/4)
 }
 
-// HandleRestart records that pushes of an earlier process may still run. The ledger does not keep notifications that were
+// HandleRestart records that pushes of an earlier process may still run. There is no record of the notifications that were
 // finished by then, so all ordered keys pause for KeyCooldown.
 func (s *Scheduler) HandleRestart(now float64) { s.keysBlockedUntil = now + s.policy.KeyCooldown }
 
@@ -498,7 +499,8 @@
 
 // pushTimeout returns the timeout of a push in seconds, derived from recent latencies. While an endpoint has few samples,
 // those of all endpoints stand in. A push that takes the last slot gets no more than that, without the objective as lower
-// bound, because a lost answer would hold up all other pushes.
+// bound, because a lost answer would hold up all other pushes. In an outage the timeout is the upper bound, and a once-only
+// push otherwise gets twice as long.
 func (s *Scheduler) pushTimeout(t *throttle, ep *endpoint, h *heldNotification) float64 {
 	objective := h.topic.Objective
 	if t.inOutage() {
@@ -528,8 +530,8 @@
 	return h.expiresAt - max(s.policy.Tick, smoothedMean(s.latencies, 0))
 }
 
-// dedupUntil returns until when a repeat is recognised by the endpoints, if a push may have run. No push may start later,
-// including one that waited for its connection until then.
+// dedupUntil returns the time until which endpoints are sure to recognise a repeat, if a push may have run. No push may start
+// later, including one that waited for its connection until then.
 func (s *Scheduler) dedupUntil(h *heldNotification) float64 {
 	if h.topic.Repeat != Collapsible {
 		return never
@@ -556,7 +558,7 @@
 }
 
 // relativeBenefit returns the benefit of a notification divided by the mean benefit of those taken. Scarce room and pace
-// are divided by it; reservedShare does the same for limits, but only while calls are in flight. It works poorly where one
+// are allocated in proportion to it; reservedShare does the same for limits, but only while calls are in flight. It works poorly where one
 // topic has nearly all of the benefit.
 func (s *Scheduler) relativeBenefit(h *heldNotification) float64 {
 	return h.topic.Benefit * float64(s.takenCount) / max(s.benefitSum, 1e-9)
@@ -680,8 +682,8 @@
 // nextMaintenance returns when maintenance is due: requesting the list of endpoints, at start and some time after a
 // failure, or closing idle connections.
 func (s *Scheduler) nextMaintenance(now float64) float64 {
-	if s.listOnRequest && s.nextListRequest == never && s.dir.ConsecutiveFailures > 0 && s.dir.Revision != s.updatesAtRequest {
-		s.updatesAtRequest = s.dir.Revision
+	if s.listOnRequest && s.nextListRequest == never && s.dir.ConsecutiveFailures > 0 && s.dir.Revision != s.revisionAtRequest {
+		s.revisionAtRequest = s.dir.Revision
 		s.nextListRequest = now + setAsideJitter*(1+s.rng.float())
 	}
 	stale := func(i idleEndpoint) bool { return len(i.endpoint.calls) > 0 || i.endpoint.idleSince != i.since }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -721,7 +721,7 @@
 	// 0.10  throttle Ax
 }
 
-// A list that is sent only when asked for is requested at start, and again some time after a failure.
+// A list that is sent only on request is requested at start, and again some time after a failure.
 func Example_listRequests() {
 	dir := directory.New()
 	s := decide.New(7, dir, topics, decide.Capacity{MaxCalls: 4, MaxHeld: 9}, decide.Routes{}, decide.Recovery{},
@@ -944,7 +944,7 @@
 }
 
 // A lost list is requested again after half a second to one second. With a poll that hung before, and a second loss, this
-// must stay below the six seconds after which a change of the list counts as known to the dispatcher.
+// must stay below the six seconds after which the dispatcher must apply a change of the list.
 func TestListRequestDelay(t *testing.T) {
 	for seed := range uint64(200) {
 		dir := directory.New()
--- a/decide/health.go
+++ b/decide/health.go
@@ -86,7 +86,7 @@
 	// With much of the limit left the refusal may come from an outage instead.
 	unlikelyLimit := s.routes.SeparateByKind[ep.kind] && o.LimitLeft > ampleLimitLeft
 	if unlikelyLimit {
-		t.jitter *= shutSpreadFactor
+		t.jitter *= unlikelyLimitSpread
 	}
 	t.refusalSamples = appendLast(t.refusalSamples, 1, healthSamples)
 	// Other dispatchers may have used the limit up. An outage that is reported as an exhausted limit is thus detected one
--- a/decide/recovery.go
+++ b/decide/recovery.go
@@ -9,8 +9,8 @@
 func (s *Scheduler) KeyCooldown() float64 { return s.policy.KeyCooldown }
 
 // RecoveryBudget returns how many calls in the given span, in seconds, the settings allow all dispatchers together for the
-// destination or route of an endpoint in slow start. ok is false if this dispatcher has detected no outage of it, or if its
-// capacity is unknown.
+// destination or route of an endpoint in slow start. ok is false if this dispatcher has detected no outage of it, if slow
+// start is over, or if its capacity is unknown.
 func (s *Scheduler) RecoveryBudget(now float64, e directory.Endpoint) (calls, span float64, ok bool) {
 	t := s.throttle(e)
 	rate := s.destinationRate(e, t)
--- a/decide/state.go
+++ b/decide/state.go
@@ -22,10 +22,10 @@
 	policy                 PushPolicy
 	quotas                 TenantQuotas
 	tenantArrivals         map[string][]float64 // when the last notifications of each tenant arrived
-	listOnRequest          bool                 // the list is sent only when it is asked for
-	updatesAtRequest       int                  // revision of the list when it was last asked for
-	updatesAtEviction      int                  // revision of the list when unused state was last evicted
-	nextListRequest        float64              // when to ask for the list; never if that is not due
+	listOnRequest          bool                 // the list is sent only on request
+	revisionAtRequest      int                  // revision of the list when it was last requested
+	revisionAtEviction     int                  // revision of the list when unused state was last evicted
+	nextListRequest        float64              // when to request the list; never if that is not due
 	held                   map[string]*heldNotification
 	keys                   map[string][]*heldNotification
 	keysBlockedUntil       float64 // no notification with an ordering key starts before
@@ -46,7 +46,7 @@
 	connectionsScarceUntil map[string]float64                  // by kind: idle connections are closed early until then
 }
 
-// heldNotification is a notification that has been taken and is not finished yet. Times are in seconds.
+// heldNotification is a notification that has been taken and not yet released. Times are in seconds.
 type heldNotification struct {
 	Notification
 	topic            Topic
@@ -200,10 +200,10 @@
 // wait applies and slow start is over; keys that all notifications have released; and tenants without a notification in
 // the last quotaSpan.
 func (s *Scheduler) evictUnused(now float64) {
-	if s.updatesAtEviction == s.dir.Revision {
+	if s.revisionAtEviction == s.dir.Revision {
 		return
 	}
-	s.updatesAtEviction = s.dir.Revision
+	s.revisionAtEviction = s.dir.Revision
 	awaitingClose := map[string]bool{}
 	for id, d := range s.destinations {
 		if !s.dir.KnownDest(id) && len(d.queue) == 0 {
--- a/decide/types.go
+++ b/decide/types.go
@@ -58,7 +58,7 @@
 	Reset               // the connection broke: may have run
 	Cancelled           // cancelled by the dispatcher: may have run
 	NotAttempted        // not sent, or not run for a reason that says nothing about the endpoint
-	Withdrawn           // the client no longer wants the notification, or has received its final answer
+	Withdrawn           // the client withdrew the notification, or has received its final answer
 	PeerMessage         // a message from another dispatcher
 )
 
