--- a/decide/decide.go
+++ b/decide/decide.go
@@ -33,7 +33,7 @@
 	defaultRefusalWait   = 0.5  // seconds without pushes after a refusal that told no wait, or, with jitter, after one for too many connections
 	allowanceTTL         = 1.0  // seconds without a call in flight after which an allowance is discarded
 	setAsideBase         = 1.0  // seconds for which an endpoint is set aside, and between two trials, at least
-	setAsideJitter       = 0.5  // seconds, the upper bound of the random part added to setAsideBase; lists are requested again after one to two times this
+	setAsideJitter       = 0.5  // seconds, the upper bound of the random part added to setAsideBase; also the shortest delay of a repeated list request
 	defaultGap           = 0.5  // seconds, the gap or latency assumed before there are samples
 	maxSamples           = 16   // samples kept in each series of latencies, gaps and usage
 	maxPushSamples       = 256  // pushes and arrivals kept in each series
@@ -48,7 +48,7 @@
 	resendSpread         = 1.2  // refused pushes of all dispatchers are spread over this many overload spans
 	unlikelyLimitSpread  = 4.0  // factor on resendSpread after a refusal with much of the limit left
 	acceptedWindow       = 2.0  // seconds before a refusal over which accepted pushes are counted
-	paceGrowth           = 0.03 // growth of the pace per second, as a share of its start; also of maxCalls, in maxCalls deliveries
+	paceGrowth           = 0.03 // growth of the pace per second, as a share of its start; maxCalls grows by this per maxCalls deliveries
 	paceStart            = 0.9  // start of the pace, and of maxCalls, as a share of what was accepted
 	freeRefusalThreshold = 0.5  // share of refused pushes from which a destination is paced where refusals cost nothing
 )
