--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock gives a dispatcher's time, in seconds that run at the pace of real time: within a process, and from one
-// process to the next on the same folder, whatever becomes of the time of day. After the machine has started anew only the
-// time of day can tell how much has passed.
+// Package clock provides a clock that is not affected by steps of the wall clock, neither within a process nor between
+// successive processes that use the same folder. Each process stores the clock's offset from the time since boot. After a
+// reboot that offset is no longer valid, and the clock starts again from the wall clock.
 package clock
 
 import (
@@ -18,14 +18,14 @@
 	"orchiddrift/disk"
 )
 
-// Source is what the machine says of time, as values, so that a test can step its clocks.
+// Source holds the functions that read the machine's clocks, so that tests can replace them.
 type Source struct {
-	Wall      func() time.Time              // the time of day, which anybody may step
-	SinceBoot func() (time.Duration, error) // real time since the machine started
-	BootID    func() (string, error)        // names the start that SinceBoot counts from
+	Wall      func() time.Time              // wall-clock time, which may be stepped
+	SinceBoot func() (time.Duration, error) // time since boot, including time in suspend
+	BootID    func() (string, error)        // identifies the boot that SinceBoot counts from
 }
 
-// SystemSource is the source of the machine that the process runs on.
+// SystemSource returns a Source that reads the clocks of this machine.
 func SystemSource() Source {
 	return Source{Wall: time.Now, SinceBoot: sinceBoot, BootID: func() (string, error) {
 		id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
@@ -33,113 +33,114 @@
 	}}
 }
 
-// bootTime is CLOCK_BOOTTIME of clock_gettime(2): it is never stepped, and runs on while the machine sleeps.
-const bootTime = 7
+// clockBoottime is CLOCK_BOOTTIME of clock_gettime(2), which is never stepped and includes time in suspend.
+const clockBoottime = 7
 
 func sinceBoot() (time.Duration, error) {
 	var now syscall.Timespec
-	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, bootTime, uintptr(unsafe.Pointer(&now)), 0); errno != 0 {
+	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockBoottime, uintptr(unsafe.Pointer(&now)), 0); errno != 0 {
 		return 0, os.NewSyscallError("clock_gettime", errno)
 	}
 	return time.Duration(now.Nano()), nil
 }
 
-// ErrOffsetUnreadable tells that the folder holds an offset that could not be read now. A clock that starts without it may be wrong by
-// a step of the time of day; another try may read it.
+// ErrOffsetUnreadable is returned when the folder holds an offset that could not be read. A clock that starts without it
+// may be off by a step of the wall clock. The error may be transient, so opening the clock can be retried.
 var ErrOffsetUnreadable = errors.New("the clock's offset could not be read")
 
-// FileName is the file that holds the offset.
+// FileName is the name of the file that holds the offset.
 const FileName = "clock"
 
-// Clock is a process's clock.
+// Clock is the clock of one process.
 type Clock struct {
-	base   float64 // at start
-	start  time.Time
-	folder disk.Folder
-	line   string // what the folder is to hold
-	sync   bool
+	baseSeconds float64 // the clock's time at startedAt, in Unix seconds
+	startedAt   time.Time
+	folder      disk.Folder
+	offsetLine  string // content for the offset file; empty if there is nothing to save
+	sync        bool
 }
 
-// Now is the time in Unix seconds, as the time of day was when the folder's first process of this start of the machine
-// began.
-func (c *Clock) Now() float64 { return c.base + time.Since(c.start).Seconds() }
+// Now returns the time in Unix seconds. It is based on the wall clock as it was when the first process since boot opened
+// the clock in this folder.
+func (c *Clock) Now() float64 { return c.baseSeconds + time.Since(c.startedAt).Seconds() }
 
-// Save puts into the folder by how much the clock is ahead of the time since the machine's start.
+// Save writes the clock's offset from the time since boot to the folder, unless it is there already or is unknown.
 func (c *Clock) Save() error {
-	if c.line == "" { // the machine cannot tell that time
+	if c.offsetLine == "" {
 		return nil
 	}
-	return write(c.folder, c.line, c.sync)
+	return writeFile(c.folder, c.offsetLine, c.sync)
 }
 
-// Open gives a process's clock. The folder keeps by how much it is ahead of the time since the machine's start, so that the
-// next process goes on from there. Where the machine cannot tell that time, or the offset could not be kept, the clock still
-// runs, and the error says why a step of the time of day before the next process would go unnoticed; Keep may be tried again.
-func Open(folder disk.Folder, s Source, sync bool) (*Clock, error) {
-	c := &Clock{start: time.Now(), base: float64(s.Wall().UnixNano()) / float64(time.Second), folder: folder, sync: sync}
-	boot, err := s.BootID()
+// Open returns the clock of this process. It reads the offset from the time since boot that an earlier process stored in
+// the folder, or stores a new one. If the time since boot is not available, or the offset cannot be read or stored, Open
+// returns both a working clock and an error: a step of the wall clock before the next process starts would then shift that
+// process's clock. Save can be called again to retry a failed write.
+func Open(folder disk.Folder, source Source, sync bool) (*Clock, error) {
+	c := &Clock{startedAt: time.Now(), baseSeconds: float64(source.Wall().UnixNano()) / float64(time.Second), folder: folder, sync: sync}
+	bootID, err := source.BootID()
 	if err != nil {
 		return c, err
 	}
-	since, err := s.SinceBoot()
+	uptime, err := source.SinceBoot()
 	if err != nil {
 		return c, err
 	}
-	before, known, err := kept(folder, boot)
+	offset, known, err := readOffset(folder, bootID)
 	if err != nil {
 		return c, fmt.Errorf("%w: %w", ErrOffsetUnreadable, err)
 	}
 	if known {
-		c.base = before + since.Seconds()
+		c.baseSeconds = offset + uptime.Seconds()
 		return c, nil
 	}
-	c.line = format(boot, c.base-since.Seconds())
+	c.offsetLine = formatLine(bootID, c.baseSeconds-uptime.Seconds())
 	return c, c.Save()
 }
 
-// kept is the offset that the folder holds for a start of the machine, if it does.
-func kept(folder disk.Folder, boot string) (offset float64, known bool, err error) {
+// readOffset returns the offset stored for the given boot. known reports whether there is one.
+func readOffset(folder disk.Folder, bootID string) (offset float64, known bool, err error) {
 	names, err := folder.List()
 	if err != nil || !slices.Contains(names, FileName) {
 		return 0, false, err
 	}
-	text, err := read(folder)
+	text, err := readFile(folder)
 	if err != nil {
 		return 0, false, err
 	}
-	offset, known = parse(text, boot)
+	offset, known = parseLine(text, bootID)
 	return offset, known, nil
 }
 
-// format is the file's line: the start of the machine, the offset in seconds, and a checksum of both.
-func format(boot string, offset float64) string {
-	text := fmt.Sprintf("%s %.9f", boot, offset)
+// formatLine returns the line stored in the file: the boot ID, the offset in seconds, and a CRC-32 of both.
+func formatLine(bootID string, offset float64) string {
+	text := fmt.Sprintf("%s %.9f", bootID, offset)
 	return fmt.Sprintf("%s %08x\n", text, crc32.ChecksumIEEE([]byte(text)))
 }
 
-// parse reads a line whole, of that start of the machine.
-func parse(line, boot string) (float64, bool) {
+// parseLine returns the offset from a line. It reports false if the line is torn or of another boot.
+func parseLine(line, bootID string) (float64, bool) {
 	fields := strings.Fields(line)
-	if len(fields) != 3 || fields[0] != boot {
+	if len(fields) != 3 || fields[0] != bootID {
 		return 0, false
 	}
 	var offset float64
 	if _, err := fmt.Sscanf(fields[1], "%f", &offset); err != nil {
 		return 0, false
 	}
-	return offset, format(boot, offset) == line
+	return offset, formatLine(bootID, offset) == line
 }
 
-// mostLine is more than a line can have.
-const mostLine = 256
+// maxLineBytes is the size of the read buffer. It exceeds the length of any valid line.
+const maxLineBytes = 256
 
-func read(folder disk.Folder) (string, error) {
+func readFile(folder disk.Folder) (string, error) {
 	f, err := folder.Open(FileName)
 	if err != nil {
 		return "", err
 	}
 	defer f.Close()
-	text := make([]byte, mostLine)
+	text := make([]byte, maxLineBytes)
 	n, err := f.ReadAt(text, 0)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return "", err
@@ -147,14 +148,14 @@
 	return string(text[:n]), nil
 }
 
-func write(folder disk.Folder, line string, sync bool) error {
+func writeFile(folder disk.Folder, line string, sync bool) error {
 	f, err := folder.Create(FileName)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	if n, err := f.WriteAt([]byte(line), 0); err != nil || n < len(line) {
-		return errors.Join(err, fmt.Errorf("%s: %d bytes written of %d", FileName, n, len(line)))
+		return errors.Join(err, fmt.Errorf("%s: wrote %d of %d bytes", FileName, n, len(line)))
 	}
 	if !sync {
 		return nil
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,8 +9,8 @@
 	"orchiddrift/disk/faulty"
 )
 
-// Processes on one folder, one after another: the machine's own time has passed whatever the time of day says, and the time
-// of day counts alone where the machine started anew, or what the folder held is torn or cannot be written.
+// Successive processes on one folder: the clock advances by the time since boot, whatever steps the wall clock makes. It
+// falls back to the wall clock after a reboot, and when the stored offset is torn or could not be written.
 func TestOpen(t *testing.T) {
 	wall, since, boot := time.Unix(1e9, 0), 5*time.Second, "b1"
 	s := Source{Wall: func() time.Time { return wall }, SinceBoot: func() (time.Duration, error) { return since, nil },
@@ -18,21 +18,21 @@
 	folder := faulty.New()
 	for _, step := range []struct {
 		name   string
-		wall   time.Duration // how far the time of day moves
-		since  time.Duration // how much real time passes
+		wall   time.Duration // step of the wall clock
+		since  time.Duration // step of the time since boot
 		boot   string
 		before func()
-		want   float64 // the clock, from the first process's start
+		want   float64 // the clock's time, in seconds after the first process opened it
 		fails  bool
 	}{
 		{"first", 0, 0, "b1", func() {}, 0, false},
-		{"forward", time.Hour, 3 * time.Second, "b1", func() {}, 3, false},
-		{"back", -2 * time.Hour, 4 * time.Second, "b1", func() {}, 7, false},
-		{"torn", time.Hour, time.Second, "b1", func() { folder.Put(FileName, folder.Content(FileName)[:9]) }, 0, false},
-		{"went on from there", time.Hour, time.Second, "b1", func() {}, 1, false},
-		{"another start of the machine", time.Second, -12 * time.Second, "b2", func() {}, 3601, false},
-		{"not written", 0, 0, "b3", func() { folder.WriteErr = syscall.ENOSPC }, 3601, true},
-		{"kept later", time.Hour, time.Second, "b3", func() {}, 3602, false},
+		{"wall clock forward", time.Hour, 3 * time.Second, "b1", func() {}, 3, false},
+		{"wall clock back", -2 * time.Hour, 4 * time.Second, "b1", func() {}, 7, false},
+		{"torn offset file", time.Hour, time.Second, "b1", func() { folder.Put(FileName, folder.Content(FileName)[:9]) }, 0, false},
+		{"after the torn file was replaced", time.Hour, time.Second, "b1", func() {}, 1, false},
+		{"after a reboot", time.Second, -12 * time.Second, "b2", func() {}, 3601, false},
+		{"failed write", 0, 0, "b3", func() { folder.WriteErr = syscall.ENOSPC }, 3601, true},
+		{"after a retried write", time.Hour, time.Second, "b3", func() {}, 3602, false},
 	} {
 		wall, since, boot = wall.Add(step.wall), since+step.since, step.boot
 		step.before()
@@ -41,10 +41,10 @@
 			t.Errorf("%s: %.3f, %v; want %.0f", step.name, got, err, step.want)
 		}
 		if folder.WriteErr = nil; err != nil && c.Save() != nil {
-			t.Errorf("%s: not kept by another try", step.name)
+			t.Errorf("%s: retrying Save failed", step.name)
 		}
 		if errors.Is(err, ErrOffsetUnreadable) {
-			t.Errorf("%s: %v, and nothing was unread", step.name, err)
+			t.Errorf("%s: got %v, but the offset could be read", step.name, err)
 		}
 	}
 }
--- a/disk/disk.go
+++ b/disk/disk.go
@@ -1,4 +1,5 @@
-// Package disk is all that the ledger asks of a file system, so that one that fails can stand in for it.
+// Package disk defines the file system operations that the ledger uses, so that tests can substitute a failing
+// implementation, and implements them for directories of the operating system.
 package disk
 
 import (
@@ -10,39 +11,40 @@
 	"syscall"
 )
 
-// Folder holds files by name.
+// Folder is a flat set of files, addressed by name.
 type Folder interface {
-	List() ([]string, error) // in order
+	List() ([]string, error) // the file names, sorted
 	Create(name string) (File, error)
 	Open(name string) (File, error)
 	Remove(name string) error
-	Sync() error // of the names
+	Sync() error // makes created and removed names durable
 }
 
-// File is an open file. Offsets and sizes are bytes.
+// File is an open file. Offsets and sizes are in bytes.
 type File interface {
-	ReadAt(b []byte, at int64) (int, error)
-	WriteAt(b []byte, at int64) (int, error)
+	ReadAt(b []byte, offset int64) (int, error)
+	WriteAt(b []byte, offset int64) (int, error)
 	Size() (int64, error)
 	Sync() error
 	Close() error
 }
 
-// Dir is a folder of the operating system.
+// Dir is a Folder in a directory of the operating system.
 type Dir struct {
 	path string
-	lock *os.File // nil: only to be read
+	lock *os.File // nil if opened read-only
 }
 
-// lockName is the file that one process at a time holds.
-const lockName = "lock"
+// lockFileName is the name of the file that the owning process locks.
+const lockFileName = "lock"
 
-// ErrLocked tells that another process has the folder.
-var ErrLocked = errors.New("another process holds it")
+// ErrLocked is returned when another process has locked the directory.
+var ErrLocked = errors.New("locked by another process")
 
-// OpenDir opens a folder for this process alone. The operating system lets go of it with the process, however that ends.
+// OpenDir opens and locks a directory for exclusive use by this process. The operating system releases the lock when the
+// process exits, even on a crash.
 func OpenDir(path string) (*Dir, error) {
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -56,16 +58,16 @@
 	return &Dir{path, lock}, nil
 }
 
-// OpenDirReadOnly opens a folder only to be read, which may be another process's.
+// OpenDirReadOnly opens a directory for reading only, without locking it. Another process may be using it.
 func OpenDirReadOnly(path string) (*Dir, error) {
 	info, err := os.Stat(path)
 	if err == nil && !info.IsDir() {
-		err = fmt.Errorf("%s is no folder", path)
+		err = fmt.Errorf("%s is not a directory", path)
 	}
 	return &Dir{path: path}, err
 }
 
-// Close lets go of the folder.
+// Close releases the lock.
 func (d *Dir) Close() error {
 	if d.lock == nil {
 		return nil
@@ -73,12 +75,12 @@
 	return d.lock.Close()
 }
 
-// List names the files but the lock.
+// List returns the sorted names of the regular files, without the lock file.
 func (d *Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	var names []string
 	for _, e := range entries {
-		if e.Name() != lockName && e.Type().IsRegular() {
+		if e.Name() != lockFileName && e.Type().IsRegular() {
 			names = append(names, e.Name())
 		}
 	}
@@ -86,12 +88,12 @@
 	return names, err
 }
 
-// Create makes an empty file.
+// Create creates an empty file, or truncates an existing one.
 func (d *Dir) Create(name string) (File, error) {
 	return d.open(name, os.O_CREATE|os.O_TRUNC|os.O_RDWR)
 }
 
-// Open opens one that is there.
+// Open opens an existing file. The file is read-only if the directory was opened read-only.
 func (d *Dir) Open(name string) (File, error) {
 	if d.lock == nil {
 		return d.open(name, os.O_RDONLY)
@@ -110,7 +112,7 @@
 // Remove removes a file.
 func (d *Dir) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
 
-// Sync makes names last.
+// Sync flushes the directory entries to disk.
 func (d *Dir) Sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
--- a/disk/faulty/faulty.go
+++ b/disk/faulty/faulty.go
@@ -1,5 +1,5 @@
-// Package faulty is a folder in memory whose disk fails as it is told: no room from some byte on, short writes, errors, and
-// a crash after any write, of which any part may be there.
+// Package faulty provides an in-memory disk.Folder with fault injection for tests: a full disk, short writes, errors, and
+// a crash at a given write, of which any prefix may have been stored.
 package faulty
 
 import (
@@ -13,101 +13,102 @@
 	"orchiddrift/disk"
 )
 
-// ErrCrashed ends everything once the crash has come.
+// ErrCrashed is returned by every operation after the simulated crash.
 var ErrCrashed = errors.New("crashed")
 
-// Folder is the folder and its disk.
+// Folder is an in-memory folder whose exported fields configure faults and count operations.
 type Folder struct {
-	CapacityBytes          int   // bytes that files may take in all; below 0: any
-	WriteErr               error // of each write, where it is set
-	CreateRemoveErr        error // of each create and remove
-	SyncErr                error // of each sync
-	FailWritesAfterSyncErr bool  // with the first sync that fails: no write goes through after it
-	Syncs                  int   // so far
-	CrashAtWrite           int   // the write, counted from 1, with which the process ends; 0: never
-	CrashKeepBytes         int   // bytes of that write that are there afterwards
-	Writes                 int   // so far
-	LongestWrite           int   // bytes of the longest write
-	WrittenBytes           int   // bytes in all
-	files                  map[string]*content
+	CapacityBytes          int   // total size that files may reach; negative for no limit
+	WriteErr               error // if set, returned by each write
+	CreateRemoveErr        error // if set, returned by each create and remove
+	SyncErr                error // if set, returned by each file sync
+	FailWritesAfterSyncErr bool  // the first file sync that fails with SyncErr sets WriteErr to it
+	Syncs                  int   // number of file syncs so far
+	CrashAtWrite           int   // number of the write or remove, from 1, at which the process crashes; 0 for never
+	CrashKeepBytes         int   // bytes of that write that are stored nevertheless
+	Writes                 int   // number of writes and removes so far
+	LongestWrite           int   // size of the longest write, in bytes
+	WrittenBytes           int   // total size of all writes, in bytes
+	files                  map[string]*fileContent
 	crashed                bool
 }
 
-type content struct{ b []byte }
+type fileContent struct{ b []byte }
 
-// New returns an empty folder with all the room there is.
-func New() *Folder { return &Folder{CapacityBytes: -1, files: map[string]*content{}} }
+// New returns an empty folder without a size limit or faults.
+func New() *Folder { return &Folder{CapacityBytes: -1, files: map[string]*fileContent{}} }
 
-// Restart is the folder as the next process finds it, in good order.
+// Restart returns a copy of the folder for the next process, with the same capacity and without the other faults.
 func (f *Folder) Restart() *Folder {
 	next := New()
 	next.CapacityBytes = f.CapacityBytes
-	for name, c := range f.files {
-		next.files[name] = &content{slices.Clone(c.b)}
+	for name, content := range f.files {
+		next.files[name] = &fileContent{slices.Clone(content.b)}
 	}
 	return next
 }
 
-// UsedBytes is what all files take, in whole blocks.
+// UsedBytes returns the space that all files take, in whole blocks.
 func (f *Folder) UsedBytes() int {
 	const block = 512
 	sum := 0
-	for _, c := range f.files {
-		sum += (len(c.b) + block - 1) / block * block
+	for _, content := range f.files {
+		sum += (len(content.b) + block - 1) / block * block
 	}
 	return sum
 }
 
-// Content is a file's content, to look at or to damage.
+// Content returns the content of a file, or nil if there is none. Changes to it change the file.
 func (f *Folder) Content(name string) []byte {
-	if c := f.files[name]; c != nil {
-		return c.b
+	if content := f.files[name]; content != nil {
+		return content.b
 	}
 	return nil
 }
 
-// Put places a file.
-func (f *Folder) Put(name string, b []byte) { f.files[name] = &content{slices.Clone(b)} }
+// Put stores a file, replacing any of the same name. It does not count as a write.
+func (f *Folder) Put(name string, b []byte) { f.files[name] = &fileContent{slices.Clone(b)} }
 
-// List names the files.
+// List returns the sorted file names.
 func (f *Folder) List() ([]string, error) {
 	var names []string
 	for name := range f.files {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	return names, f.alive()
+	return names, f.checkCrashed()
 }
 
-func (f *Folder) alive() error {
+func (f *Folder) checkCrashed() error {
 	if f.crashed {
 		return ErrCrashed
 	}
 	return nil
 }
 
-// Create makes an empty file.
+// Create creates an empty file, or truncates an existing one.
 func (f *Folder) Create(name string) (disk.File, error) {
-	if err := errors.Join(f.alive(), f.CreateRemoveErr); err != nil {
+	if err := errors.Join(f.checkCrashed(), f.CreateRemoveErr); err != nil {
 		return nil, err
 	}
-	c := &content{}
-	f.files[name] = c
-	return &file{f, name, c}, nil
+	content := &fileContent{}
+	f.files[name] = content
+	return &file{f, name, content}, nil
 }
 
-// Open opens one that is there.
+// Open opens an existing file.
 func (f *Folder) Open(name string) (disk.File, error) {
-	c := f.files[name]
-	if c == nil {
+	content := f.files[name]
+	if content == nil {
 		return nil, fmt.Errorf("%s: %w", name, fs.ErrNotExist)
 	}
-	return &file{f, name, c}, f.alive()
+	return &file{f, name, content}, f.checkCrashed()
 }
 
-// Remove removes a file. A crash may come with it as with a write.
+// Remove removes a file. It counts as a write, so the crash can occur here; the file is then removed only if
+// CrashKeepBytes is not 0.
 func (f *Folder) Remove(name string) error {
-	if err := errors.Join(f.alive(), f.CreateRemoveErr); err != nil {
+	if err := errors.Join(f.checkCrashed(), f.CreateRemoveErr); err != nil {
 		return err
 	}
 	if f.Writes++; f.Writes == f.CrashAtWrite {
@@ -116,60 +117,60 @@
 		}
 	}
 	delete(f.files, name)
-	return f.alive()
+	return f.checkCrashed()
 }
 
-// Sync does nothing: what is written is there.
-func (f *Folder) Sync() error { return f.alive() }
+// Sync only checks for the crash, since names are durable at once.
+func (f *Folder) Sync() error { return f.checkCrashed() }
 
 type file struct {
 	folder *Folder
 	name   string
-	*content
+	*fileContent
 }
 
-func (f *file) ReadAt(b []byte, at int64) (int, error) {
-	if at >= int64(len(f.b)) {
+func (f *file) ReadAt(b []byte, offset int64) (int, error) {
+	if offset >= int64(len(f.b)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.b[at:])
+	n := copy(b, f.b[offset:])
 	if n < len(b) {
 		return n, io.EOF
 	}
-	return n, f.folder.alive()
+	return n, f.folder.checkCrashed()
 }
 
-func (f *file) WriteAt(b []byte, at int64) (int, error) {
-	d := f.folder
-	if err := errors.Join(d.alive(), d.WriteErr); err != nil {
+func (f *file) WriteAt(b []byte, offset int64) (int, error) {
+	folder := f.folder
+	if err := errors.Join(folder.checkCrashed(), folder.WriteErr); err != nil {
 		return 0, err
 	}
-	d.Writes++
-	d.LongestWrite, d.WrittenBytes = max(d.LongestWrite, len(b)), d.WrittenBytes+len(b)
+	folder.Writes++
+	folder.LongestWrite, folder.WrittenBytes = max(folder.LongestWrite, len(b)), folder.WrittenBytes+len(b)
 	n, err := len(b), error(nil)
-	if d.Writes == d.CrashAtWrite {
-		d.crashed, n, err = true, min(d.CrashKeepBytes, len(b)), ErrCrashed
+	if folder.Writes == folder.CrashAtWrite {
+		folder.crashed, n, err = true, min(folder.CrashKeepBytes, len(b)), ErrCrashed
 	}
-	if grown := int(at) + n - len(f.b); grown > 0 && d.CapacityBytes >= 0 && d.UsedBytes()+grown > d.CapacityBytes {
-		n, err = max(0, n-(d.UsedBytes()+grown-d.CapacityBytes)), fmt.Errorf("%s: %w", f.name, syscall.ENOSPC)
+	if grown := int(offset) + n - len(f.b); grown > 0 && folder.CapacityBytes >= 0 && folder.UsedBytes()+grown > folder.CapacityBytes {
+		n, err = max(0, n-(folder.UsedBytes()+grown-folder.CapacityBytes)), fmt.Errorf("%s: %w", f.name, syscall.ENOSPC)
 	}
-	if grown := int(at) + n - len(f.b); grown > 0 && n > 0 {
+	if grown := int(offset) + n - len(f.b); grown > 0 && n > 0 {
 		f.b = append(f.b, make([]byte, grown)...)
 	}
 	if n > 0 {
-		copy(f.b[at:], b[:n])
+		copy(f.b[offset:], b[:n])
 	}
 	return n, err
 }
 
-func (f *file) Size() (int64, error) { return int64(len(f.b)), f.folder.alive() }
+func (f *file) Size() (int64, error) { return int64(len(f.b)), f.folder.checkCrashed() }
 func (f *file) Close() error         { return nil }
 
-// Sync counts, and fails as told; all writes after it may.
+// Sync counts the call and returns SyncErr if set. It never has to flush anything.
 func (f *file) Sync() error {
 	f.folder.Syncs++
 	if f.folder.SyncErr != nil && f.folder.FailWritesAfterSyncErr {
 		f.folder.WriteErr = f.folder.SyncErr
 	}
-	return errors.Join(f.folder.alive(), f.folder.SyncErr)
+	return errors.Join(f.folder.checkCrashed(), f.folder.SyncErr)
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -134,6 +134,6 @@
 	fmt.Println(err)
 	// Output:
 	// open /nowhere/at/all/lock: no such file or directory
-	// DIR: another process holds it
+	// DIR: locked by another process
 	// <nil>
 }
--- a/message/message.go
+++ b/message/message.go
@@ -1,13 +1,13 @@
-// Package message holds a notification as a client handed it in, decoded once.
+// Package message defines a notification as decoded from a client's request.
 package message
 
 import "orchiddrift/decide"
 
-// Message is a notification with what its endpoint gets.
+// Message is a notification with the content that is sent to its endpoint.
 type Message struct {
 	decide.Notification
-	ExpiresAt      float64 // when its TTL ends, Unix time in seconds
-	IdempotencyKey string  // the idempotency key, "" for none
+	ExpiresAt      float64 // end of the TTL, in Unix seconds
+	IdempotencyKey string  // "" for none
 	Body           []byte
-	RanCall        uint64 // the number of the call of RanAt, 0 where that is not known
+	RanCall        uint64 // number of the call that RanAt refers to; 0 if unknown
 }
