--- a/seglog/seglog.go
+++ b/seglog/seglog.go
@@ -1,6 +1,6 @@
-// Package seglog is an append-only log in numbered segments of one size. Files are made whole before they are used and
-// are used again, so that appending neither needs new room on the disk nor removes a file. It knows nothing of what its
-// records say.
+// Package seglog implements an append-only log in numbered segments of a fixed size. Segment files are allocated at full
+// size before use and are recycled, so that appending to an allocated segment needs no further disk space and removes no
+// file. Records are opaque bytes to this package.
 package seglog
 
 import (
@@ -17,335 +17,342 @@
 )
 
 const (
-	// Version of the format; a segment of another is not read.
+	// Version is the version of the segment format. Segments of another version are not read.
 	Version = 1
 
-	magic      = "ODLG"
-	HeaderSize = 24 // bytes: magic, version, number, the number of the last record before it, checksum
-	frame      = 16 // a record's length, checksum and number
-	prefix     = "segment-"
+	magic            = "ODLG"
+	HeaderSize       = 24 // bytes of a segment's header: magic, version, segment number, base sequence number, checksum
+	recordHeaderSize = 16 // bytes of a record's header: length, checksum, sequence number
+	fileNamePrefix   = "segment-"
 )
 
-// RecordOverhead is what a record takes beyond its own bytes.
-const RecordOverhead = frame
+// RecordOverhead is the number of bytes that a record takes in a segment in addition to its content.
+const RecordOverhead = recordHeaderSize
 
-// The errors.
+// Errors returned by a Log.
 var (
 	ErrFull     = errors.New("no free segment")
-	ErrTooLarge = errors.New("the record is larger than a segment")
-	ErrVersion  = errors.New("the segment's format is of another version")
+	ErrTooLarge = errors.New("records do not fit in one segment")
+	ErrVersion  = errors.New("unsupported segment format version")
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Log is an open log. It is one goroutine's.
+// Log is an open log. It is not safe for concurrent use.
 type Log struct {
-	folder disk.Folder
-	size   int
-	most   int // files
-	sync   bool
-	used   []*segment // the oldest first; the last is written to
-	free   []*segment
-	names  int    // given so far
-	number int    // of the segment made last
-	seq    uint64 // of the record written last, failed ones too
-	good   uint64 // of the last that was written whole
-	doubt  bool   // a failed write could not be taken back: a process that opens the log now may read it
-	buf    []byte
+	folder              disk.Folder
+	segmentBytes        int
+	maxFiles            int // in use and free
+	sync                bool
+	inUse               []*segment // oldest first; the last one is the active segment
+	free                []*segment
+	lastFileNumber      int    // highest number in a file name
+	lastSegmentNumber   int    // number of the newest segment
+	lastSeq             uint64 // sequence number of the last record, including records of failed writes
+	lastGoodSeq         uint64 // sequence number of the last record that was written successfully
+	failedWriteReadable bool   // a failed write has not been discarded: a process that opens the log now may read it
+	buf                 []byte
 }
 
-// segment is a file with what it holds.
+// segment is a segment file, in use or free.
 type segment struct {
-	name   string
-	file   disk.File
-	size   int  // of the file
-	number int  // 0: free
-	end    int  // where the next record goes
-	spoilt bool // a write failed: what stands behind end may look whole
+	name        string
+	file        disk.File
+	size        int  // of the file, in bytes
+	number      int  // 0 if free
+	writeOffset int  // offset of the next record, in bytes
+	wipeFailed  bool // the rest of a failed write remains after writeOffset and may look like valid records
 }
 
-// Damage is a part of a segment that cannot be read, with good records behind it or in a later segment.
+// Damage is an unreadable range of a segment that is followed by valid records, in the same or a later segment. Offset
+// and Bytes are in bytes of the file.
 type Damage struct {
 	File   string `json:"file"`
 	Offset int    `json:"at"`
 	Bytes  int    `json:"bytes"`
 }
 
-// Report tells what opening found.
+// Report describes what Open found.
 type Report struct {
 	Segments int      `json:"segments"`
 	Free     int      `json:"free"`
 	Records  int      `json:"records"`
-	Bytes    int      `json:"bytes"` // of records and their frames
+	Bytes    int      `json:"bytes"` // size of the records with their headers
 	Damaged  []Damage `json:"damaged,omitempty"`
 }
 
-// Options size a log.
+// Options configures a log.
 type Options struct {
-	SegmentBytes int  // bytes of each file
-	MaxFiles     int  // at most
-	Sync         bool // records are on the disk when Append returns
-	ReadOnly     bool // only read: files stay as they are, and nothing is appended
+	SegmentBytes int  // size of each segment file
+	MaxFiles     int  // maximum number of segment files, in use and free
+	Sync         bool // sync each write to disk before Append returns
+	ReadOnly     bool // leave the files unchanged; nothing may be appended
 }
 
-// Open reads the segments, oldest first, and gives each record to each with its segment's number; damaged is called where
-// part of a segment could not be read, before what comes after it. A record is its caller's during the call only.
-func Open(folder disk.Folder, o Options, each func(segment int, record []byte), damaged func(Damage)) (*Log, Report, error) {
-	l := &Log{folder: folder, size: o.SegmentBytes, most: o.MaxFiles, sync: o.Sync}
-	report, err := l.open(o, each, damaged)
+// Open reads the segments, oldest first. It calls onRecord for each record with the number of its segment, and onDamage
+// for each unreadable range before the records that follow it. The record passed to onRecord is only valid during the call.
+func Open(folder disk.Folder, options Options, onRecord func(segment int, record []byte), onDamage func(Damage)) (*Log, Report, error) {
+	l := &Log{folder: folder, segmentBytes: options.SegmentBytes, maxFiles: options.MaxFiles, sync: options.Sync}
+	report, err := l.open(options, onRecord, onDamage)
 	if err != nil {
-		_ = l.Close() // whoever tries again opens them again
+		_ = l.Close() // a retry opens the files again
 		return nil, report, err
 	}
 	return l, report, nil
 }
 
-func (l *Log) open(o Options, each func(segment int, record []byte), damaged func(Damage)) (Report, error) {
+func (l *Log) open(options Options, onRecord func(segment int, record []byte), onDamage func(Damage)) (Report, error) {
 	names, err := l.folder.List()
 	if err != nil {
 		return Report{}, err
 	}
 	for _, name := range names {
-		if !strings.HasPrefix(name, prefix) {
+		if !strings.HasPrefix(name, fileNamePrefix) {
 			continue
 		}
 		s := &segment{name: name}
 		if s.file, err = l.folder.Open(name); err != nil {
 			return Report{}, err
 		}
-		var n int
-		if _, err := fmt.Sscanf(name, prefix+"%d", &n); err == nil {
-			l.names = max(l.names, n)
+		var fileNumber int
+		if _, err := fmt.Sscanf(name, fileNamePrefix+"%d", &fileNumber); err == nil {
+			l.lastFileNumber = max(l.lastFileNumber, fileNumber)
 		}
 		size, err := s.file.Size()
 		if err == nil {
 			s.size = int(size)
-			err = l.head(s)
+			err = l.readHeader(s)
 		}
 		switch {
 		case err != nil:
 			_ = s.file.Close()
 			return Report{}, fmt.Errorf("%s: %w", name, err)
 		case s.number > 0:
-			l.used = append(l.used, s)
-		case s.size == l.size || o.ReadOnly:
+			l.inUse = append(l.inUse, s)
+		case s.size == l.segmentBytes || options.ReadOnly:
 			l.free = append(l.free, s)
-		default: // never made whole, or of another size
-			l.remove(s)
+		default: // not fully allocated, or of another size
+			l.removeFile(s)
 		}
 	}
-	slices.SortFunc(l.used, func(a, b *segment) int { return a.number - b.number })
-	report := Report{Segments: len(l.used), Free: len(l.free)}
-	for i, s := range l.used {
-		next := uint64(newest) // the last record before the next segment: what follows it here is of a write that failed
-		if i+1 < len(l.used) {
-			if next, err = l.base(l.used[i+1]); err != nil {
+	slices.SortFunc(l.inUse, func(a, b *segment) int { return a.number - b.number })
+	report := Report{Segments: len(l.inUse), Free: len(l.free)}
+	for i, s := range l.inUse {
+		// Records in s after the base of the next segment are of a failed write.
+		maxSeq := uint64(noNextSegment)
+		if i+1 < len(l.inUse) {
+			if maxSeq, err = l.readBaseSeq(l.inUse[i+1]); err != nil {
 				return report, err
 			}
 		}
-		if err := l.read(s, next, &report, each, damaged); err != nil {
+		if err := l.readRecords(s, maxSeq, &report, onRecord, onDamage); err != nil {
 			return report, fmt.Errorf("%s: %w", s.name, err)
 		}
-		l.number = max(l.number, s.number)
+		l.lastSegmentNumber = max(l.lastSegmentNumber, s.number)
 	}
-	l.good = l.seq
+	l.lastGoodSeq = l.lastSeq
 	return report, nil
 }
 
-// head reads what a file is: a segment in use, or free.
-func (l *Log) head(s *segment) error {
+// readHeader reads the header of a file and sets the segment number, which stays 0 if the file is free.
+func (l *Log) readHeader(s *segment) error {
 	b := make([]byte, HeaderSize)
 	if n, err := s.file.ReadAt(b, 0); n < HeaderSize {
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
-		return nil // made and never filled: it is free
+		return nil // creation was interrupted
 	}
-	if string(b[:4]) != magic || crc32.Checksum(b[:HeaderSize-4], table) != binary.LittleEndian.Uint32(b[HeaderSize-4:]) {
-		return nil // never used, or being taken into use when the process ended: nothing was in it yet
+	if string(b[:4]) != magic || crc32.Checksum(b[:HeaderSize-4], crcTable) != binary.LittleEndian.Uint32(b[HeaderSize-4:]) {
+		return nil // never used, or the header write was interrupted: the segment holds no records
 	}
 	if b[4] != Version {
-		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, b[4], Version)
+		return fmt.Errorf("%w: got %d, want %d", ErrVersion, b[4], Version)
 	}
 	s.number = int(binary.LittleEndian.Uint32(b[8:]))
 	return nil
 }
 
-// base is the number of the last record before a segment.
-func (l *Log) base(s *segment) (uint64, error) {
+// readBaseSeq returns the base of a segment: the sequence number of the last valid record before it.
+func (l *Log) readBaseSeq(s *segment) (uint64, error) {
 	var b [8]byte
 	_, err := s.file.ReadAt(b[:], 12)
 	return binary.LittleEndian.Uint64(b[:]), err
 }
 
-// newest stands for the last record before a next segment where there is none yet. It is not 0: that is the last record
-// before a segment where no write succeeded before it.
-const newest = math.MaxUint64
+// noNextSegment is used in place of the next segment's base when there is no next segment. It cannot be 0, which is the
+// base of a segment before which no write succeeded.
+const noNextSegment = math.MaxUint64
 
-// read reads a segment's records.
-func (l *Log) read(s *segment, next uint64, report *Report, each func(int, []byte), damaged func(Damage)) error {
+// readRecords reads the records of a segment with sequence numbers up to maxSeq.
+func (l *Log) readRecords(s *segment, maxSeq uint64, report *Report, onRecord func(int, []byte), onDamage func(Damage)) error {
 	b := make([]byte, s.size)
 	if n, err := s.file.ReadAt(b, 0); n < len(b) {
 		return fmt.Errorf("%d bytes of %d: %w", n, len(b), err)
 	}
-	base, err := l.base(s)
+	baseSeq, err := l.readBaseSeq(s)
 	if err != nil {
 		return err
 	}
-	l.seq = max(l.seq, base)
-	at := HeaderSize
-	for at < len(b) {
-		n, seq := whole(b[at:], l.seq)
-		if n > 0 && seq > next {
-			break // of a write that failed, before the log went on in the next segment
+	l.lastSeq = max(l.lastSeq, baseSeq)
+	offset := HeaderSize
+	for offset < len(b) {
+		n, seq := parseRecord(b[offset:], l.lastSeq)
+		if n > 0 && seq > maxSeq {
+			break // of a failed write, after which the log continued in the next segment
 		}
 		if n == 0 {
-			skip := behind(b[at:], l.seq, next)
+			skip := findNextRecord(b[offset:], l.lastSeq, maxSeq)
 			if skip == 0 {
 				break
 			}
-			d := Damage{s.name, at, skip}
+			d := Damage{s.name, offset, skip}
 			report.Damaged = append(report.Damaged, d)
-			damaged(d)
-			at += skip
+			onDamage(d)
+			offset += skip
 			continue
 		}
-		each(s.number, b[at+frame:at+n])
+		onRecord(s.number, b[offset+recordHeaderSize:offset+n])
 		report.Records++
 		report.Bytes += n
-		l.seq, at = seq, at+n
+		l.lastSeq, offset = seq, offset+n
 	}
-	s.end = at                          // what is behind it is a torn tail, or what the file held before
-	if next != newest && next > l.seq { // the segment's last records are lost
-		d := Damage{s.name, at, len(b) - at}
+	s.writeOffset = offset                             // followed by a torn write or old content of the file
+	if maxSeq != noNextSegment && maxSeq > l.lastSeq { // the last records of the segment are lost
+		d := Damage{s.name, offset, len(b) - offset}
 		report.Damaged = append(report.Damaged, d)
-		damaged(d)
+		onDamage(d)
 	}
 	return nil
 }
 
-// whole tells the length of the record at the start of b, and its number, where it is whole and newer than the last.
-func whole(b []byte, last uint64) (int, uint64) {
-	if len(b) < frame {
+// parseRecord returns the length with header and the sequence number of the record at the start of b. Both are 0 unless
+// the record is valid and its sequence number is greater than lastSeq.
+func parseRecord(b []byte, lastSeq uint64) (int, uint64) {
+	if len(b) < recordHeaderSize {
 		return 0, 0
 	}
 	n, seq := int(binary.LittleEndian.Uint32(b)), binary.LittleEndian.Uint64(b[8:])
-	if n < 1 || n > len(b)-frame || seq <= last {
+	if n < 1 || n > len(b)-recordHeaderSize || seq <= lastSeq {
 		return 0, 0
 	}
-	if crc32.Checksum(b[8:frame+n], table) != binary.LittleEndian.Uint32(b[4:]) {
+	if crc32.Checksum(b[8:recordHeaderSize+n], crcTable) != binary.LittleEndian.Uint32(b[4:]) {
 		return 0, 0
 	}
-	return frame + n, seq
+	return recordHeaderSize + n, seq
 }
 
-// behind tells how far on the next whole record stands, 0 for none.
-func behind(b []byte, last, next uint64) int {
-	for skip := 1; skip+frame < len(b); skip++ {
-		if n, seq := whole(b[skip:], last); n > 0 && seq <= next {
+// findNextRecord returns the offset in b of the next valid record with a sequence number up to maxSeq, or 0 if there is none.
+func findNextRecord(b []byte, lastSeq, maxSeq uint64) int {
+	for skip := 1; skip+recordHeaderSize < len(b); skip++ {
+		if n, seq := parseRecord(b[skip:], lastSeq); n > 0 && seq <= maxSeq {
 			return skip
 		}
 	}
 	return 0
 }
 
-// Fits tells whether a record is no larger than a segment.
-func (l *Log) Fits(record int) bool { return HeaderSize+frame+record <= l.size }
+// Fits reports whether a record of the given size fits in a segment.
+func (l *Log) Fits(recordBytes int) bool {
+	return HeaderSize+recordHeaderSize+recordBytes <= l.segmentBytes
+}
 
-// Append writes records in one go, into one segment, and tells its number. When it fails none of them counts.
+// Append writes records to one segment in a single write and returns the number of the segment. If it fails, none of the
+// records is part of the log.
 func (l *Log) Append(records ...[]byte) (int, error) {
 	l.buf = l.buf[:0]
-	seq := l.seq
+	seq := l.lastSeq
 	for _, r := range records {
 		seq++
-		at := len(l.buf)
-		l.buf = append(l.buf, make([]byte, frame)...)
+		offset := len(l.buf)
+		l.buf = append(l.buf, make([]byte, recordHeaderSize)...)
 		l.buf = append(l.buf, r...)
-		binary.LittleEndian.PutUint32(l.buf[at:], uint32(len(r)))
-		binary.LittleEndian.PutUint64(l.buf[at+8:], seq)
-		binary.LittleEndian.PutUint32(l.buf[at+4:], crc32.Checksum(l.buf[at+8:], table))
+		binary.LittleEndian.PutUint32(l.buf[offset:], uint32(len(r)))
+		binary.LittleEndian.PutUint64(l.buf[offset+8:], seq)
+		binary.LittleEndian.PutUint32(l.buf[offset+4:], crc32.Checksum(l.buf[offset+8:], crcTable))
 	}
-	if HeaderSize+len(l.buf) > l.size {
+	if HeaderSize+len(l.buf) > l.segmentBytes {
 		return 0, ErrTooLarge
 	}
 	if err := l.DiscardFailedWrite(); err != nil {
 		return 0, err
 	}
 	s := l.active()
-	if s == nil || s.spoilt || s.end+len(l.buf) > s.size {
+	if s == nil || s.wipeFailed || s.writeOffset+len(l.buf) > s.size {
 		var err error
-		if s, err = l.roll(); err != nil {
+		if s, err = l.activateSegment(); err != nil {
 			return 0, err
 		}
 	}
-	l.seq = seq // a number is never given twice: what a failed write left is older than what comes over it
-	if n, err := s.file.WriteAt(l.buf, int64(s.end)); n < len(l.buf) || err != nil {
-		l.undo(s)
-		return 0, fmt.Errorf("%s: %w", s.name, orShort(err))
+	l.lastSeq = seq // not reused if the write fails: the remains of a failed write are older than what overwrites them
+	if n, err := s.file.WriteAt(l.buf, int64(s.writeOffset)); n < len(l.buf) || err != nil {
+		l.wipeFailedWrite(s)
+		return 0, fmt.Errorf("%s: %w", s.name, orShortWrite(err))
 	}
 	if l.sync {
 		if err := s.file.Sync(); err != nil {
-			l.undo(s)
+			l.wipeFailedWrite(s)
 			return 0, fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
-	s.end += len(l.buf)
-	l.good = seq
+	s.writeOffset += len(l.buf)
+	l.lastGoodSeq = seq
 	return s.number, nil
 }
 
-var errShort = errors.New("short write")
+var errShortWrite = errors.New("short write")
 
-func orShort(err error) error {
+func orShortWrite(err error) error {
 	if err == nil {
-		return errShort
+		return errShortWrite
 	}
 	return err
 }
 
-// undo takes back what a failed write may have left. Where that fails too, the log goes on in another segment, whose head
-// tells which record was the last good one; until that stands, what the write left is in doubt.
-func (l *Log) undo(s *segment) {
-	n, err := s.file.WriteAt(make([]byte, len(l.buf)), int64(s.end))
+// wipeFailedWrite overwrites what a failed write may have left with zeros. If that fails too, the log continues in another
+// segment, whose header holds the sequence number of the last valid record. Until that header is written, a process that
+// opens the log may read the failed write.
+func (l *Log) wipeFailedWrite(s *segment) {
+	n, err := s.file.WriteAt(make([]byte, len(l.buf)), int64(s.writeOffset))
 	if l.sync && err == nil {
 		err = s.file.Sync()
 	}
 	if n == len(l.buf) && err == nil {
 		return
 	}
-	s.spoilt, l.doubt = true, true
+	s.wipeFailed, l.failedWriteReadable = true, true
 	_ = l.DiscardFailedWrite()
 }
 
-// DiscardFailedWrite makes sure that nobody who opens the log reads what a failed write left. It does nothing where that is so already;
-// an error tells that it is not.
+// DiscardFailedWrite ensures that a process that opens the log does not read the records of a failed write. It does
+// nothing if that is ensured already, and returns an error if it cannot be ensured now.
 func (l *Log) DiscardFailedWrite() error {
-	if !l.doubt {
+	if !l.failedWriteReadable {
 		return nil
 	}
 	s, err := l.active(), error(nil)
-	if s.spoilt { // else its head was written before, and is not synced yet
-		s, err = l.roll()
+	if s.wipeFailed { // otherwise the header of the new segment is written, but not synced
+		s, err = l.activateSegment()
 	}
 	if err == nil && l.sync {
 		err = s.file.Sync()
 	}
 	if err != nil {
-		return fmt.Errorf("a failed write cannot be taken back: %w", err)
+		return fmt.Errorf("failed write could not be discarded: %w", err)
 	}
-	l.doubt = false
+	l.failedWriteReadable = false
 	return nil
 }
 
 func (l *Log) active() *segment {
-	if len(l.used) == 0 {
+	if len(l.inUse) == 0 {
 		return nil
 	}
-	return l.used[len(l.used)-1]
+	return l.inUse[len(l.inUse)-1]
 }
 
-// roll takes a free file into use as the newest segment.
-func (l *Log) roll() (*segment, error) {
+// activateSegment makes a free file the newest segment, allocating one if there is none.
+func (l *Log) activateSegment() (*segment, error) {
 	if len(l.free) == 0 {
 		if err := l.Reserve(1); err != nil {
 			return nil, err
@@ -355,79 +362,79 @@
 	b := make([]byte, HeaderSize)
 	copy(b, magic)
 	b[4] = Version
-	binary.LittleEndian.PutUint32(b[8:], uint32(l.number+1))
-	binary.LittleEndian.PutUint64(b[12:], l.good)
-	binary.LittleEndian.PutUint32(b[HeaderSize-4:], crc32.Checksum(b[:HeaderSize-4], table))
+	binary.LittleEndian.PutUint32(b[8:], uint32(l.lastSegmentNumber+1))
+	binary.LittleEndian.PutUint64(b[12:], l.lastGoodSeq)
+	binary.LittleEndian.PutUint32(b[HeaderSize-4:], crc32.Checksum(b[:HeaderSize-4], crcTable))
 	if n, err := s.file.WriteAt(b, 0); n < len(b) || err != nil {
-		return nil, fmt.Errorf("%s: %w", s.name, orShort(err))
+		return nil, fmt.Errorf("%s: %w", s.name, orShortWrite(err))
 	}
-	l.number++
-	s.number, s.end, s.spoilt = l.number, HeaderSize, false
-	l.free, l.used = l.free[1:], append(l.used, s)
+	l.lastSegmentNumber++
+	s.number, s.writeOffset, s.wipeFailed = l.lastSegmentNumber, HeaderSize, false
+	l.free, l.inUse = l.free[1:], append(l.inUse, s)
 	return s, nil
 }
 
-// Reserve makes files until so many are free. ErrFull tells that no more are allowed; another error that the disk has no
-// room, or fails.
-func (l *Log) Reserve(n int) error {
-	for len(l.free) < n {
-		if len(l.free)+len(l.used) >= l.most {
+// Reserve allocates files until count files are free. It returns ErrFull if the maximum number of files is reached, and
+// the underlying error if the disk is full or fails.
+func (l *Log) Reserve(count int) error {
+	for len(l.free) < count {
+		if len(l.free)+len(l.inUse) >= l.maxFiles {
 			return ErrFull
 		}
-		name := fmt.Sprintf("%s%06d", prefix, l.names+1)
+		name := fmt.Sprintf("%s%06d", fileNamePrefix, l.lastFileNumber+1)
 		f, err := l.folder.Create(name)
 		if err != nil {
 			return err
 		}
-		if wrote, err := f.WriteAt(make([]byte, l.size), 0); wrote < l.size || err != nil {
-			l.remove(&segment{name: name, file: f})
-			return fmt.Errorf("%s: %w", name, orShort(err))
+		if wrote, err := f.WriteAt(make([]byte, l.segmentBytes), 0); wrote < l.segmentBytes || err != nil {
+			l.removeFile(&segment{name: name, file: f})
+			return fmt.Errorf("%s: %w", name, orShortWrite(err))
 		}
 		if l.sync {
 			if err := errors.Join(f.Sync(), l.folder.Sync()); err != nil {
 				return err
 			}
 		}
-		l.names++
-		l.free = append(l.free, &segment{name: name, file: f, size: l.size})
+		l.lastFileNumber++
+		l.free = append(l.free, &segment{name: name, file: f, size: l.segmentBytes})
 	}
 	return nil
 }
 
-// ReleaseOldest gives the oldest segment's file back to be used again. Its caller has moved all it needs; with Sync that is on
-// the disk. The segment written to is never released.
+// ReleaseOldest frees the oldest segment, so that its file can be reused. The caller must have copied the records that it
+// still needs; with Sync, they must be on disk. The active segment is never released.
 func (l *Log) ReleaseOldest() error {
-	if len(l.used) < 2 {
+	if len(l.inUse) < 2 {
 		return nil
 	}
-	s := l.used[0]
+	s := l.inUse[0]
 	if n, err := s.file.WriteAt(make([]byte, HeaderSize), 0); n < HeaderSize || err != nil {
-		return fmt.Errorf("%s: %w", s.name, orShort(err))
+		return fmt.Errorf("%s: %w", s.name, orShortWrite(err))
 	}
-	s.number, s.end = 0, 0
-	if l.used = l.used[1:]; s.size != l.size { // it is of another size than files are now
-		l.remove(s)
+	s.number, s.writeOffset = 0, 0
+	if l.inUse = l.inUse[1:]; s.size != l.segmentBytes { // of a size that is no longer configured
+		l.removeFile(s)
 		return nil
 	}
 	l.free = append(l.free, s)
 	return nil
 }
 
-// remove removes a file that holds nothing. One that cannot be removed is tried again at the next start.
-func (l *Log) remove(s *segment) {
+// removeFile closes and removes a file without records. Errors are ignored, since Open tries again at the next start.
+func (l *Log) removeFile(s *segment) {
 	_ = s.file.Close()
 	_ = l.folder.Remove(s.name)
 }
 
-// OldestSegment and Newest are the numbers of segments in use, 0 where there is none.
+// OldestSegment returns the number of the oldest segment in use, or 0 if there is none.
 func (l *Log) OldestSegment() int {
-	if len(l.used) == 0 {
+	if len(l.inUse) == 0 {
 		return 0
 	}
-	return l.used[0].number
+	return l.inUse[0].number
 }
 
-// NewestSegment is the number of the segment written to.
+// NewestSegment returns the number of the active segment, or 0 if there is none.
 func (l *Log) NewestSegment() int {
 	if s := l.active(); s != nil {
 		return s.number
@@ -435,30 +442,31 @@
 	return 0
 }
 
-// LastSeq is the number of the last record, failed writes included. It only grows, also from one process to the next.
-func (l *Log) LastSeq() uint64 { return l.seq }
+// LastSeq returns the sequence number of the last record, including failed writes. It never decreases, even across
+// processes.
+func (l *Log) LastSeq() uint64 { return l.lastSeq }
 
-// UsedFiles counts the files that hold records.
-func (l *Log) UsedFiles() int { return len(l.used) }
+// UsedFiles returns the number of segments in use.
+func (l *Log) UsedFiles() int { return len(l.inUse) }
 
-// FreeFiles counts the files ready to be used.
+// FreeFiles returns the number of allocated files that are free.
 func (l *Log) FreeFiles() int { return len(l.free) }
 
-// MaxFiles is how many files there may be.
-func (l *Log) MaxFiles() int { return l.most }
+// MaxFiles returns the maximum number of files, in use and free.
+func (l *Log) MaxFiles() int { return l.maxFiles }
 
-// TrimFree removes free files beyond so many.
+// TrimFree removes free files until at most keep are left.
 func (l *Log) TrimFree(keep int) {
 	for len(l.free) > keep {
-		l.remove(l.free[0])
+		l.removeFile(l.free[0])
 		l.free = l.free[1:]
 	}
 }
 
-// Close closes the files.
+// Close closes all segment files.
 func (l *Log) Close() error {
 	var err error
-	for _, s := range slices.Concat(l.used, l.free) {
+	for _, s := range slices.Concat(l.inUse, l.free) {
 		err = errors.Join(err, s.file.Close())
 	}
 	return err
