--- a/ledger/compact.go
+++ b/ledger/compact.go
@@ -7,109 +7,111 @@
 	"orchiddrift/seglog"
 )
 
-// How much is written again.
+// Parameters of compaction.
 const (
-	leastMoved    = 2048 // bytes with a write, at least
-	movedPerByte  = 2    // and so many for each that is written
-	reserveRetry  = 32   // writes between two tries to make files on a disk without room
-	worthMovingAt = 2    // times what is owed: so much has to be in use
+	minRewriteBytes            = 2048 // minimum budget of compaction per write, in bytes
+	rewriteBytesPerByteWritten = 2    // budget of compaction per byte of a write, in bytes
+	reserveRetryWrites         = 32   // number of writes between attempts to allocate files on a full disk
+	minUsedToLiveRatio         = 2    // ratio of used to live bytes above which compaction runs
 )
 
-// compact empties the oldest segment by a little more than is about to be written, and makes sure of the reserve. Its
-// work is bounded by what is written, and by going once through the segments where too few files are free.
-func (l *Ledger) compact(bytes int, takes bool) error {
+// compact rewrites part of the oldest segment, in proportion to the size of the write that follows, and allocates the
+// reserved free files. accepts is set if the write contains an Accepted record, for which the reserved files must be free.
+// The work is bounded by the size of the write or, if too few files are free, by one pass over the segments.
+func (l *Ledger) compact(writtenBytes int, accepts bool) error {
 	l.reserve()
-	budget, free := max(leastMoved, movedPerByte*bytes), 1
-	if takes {
-		free = reservedFiles
+	budget, wantFree := max(minRewriteBytes, rewriteBytesPerByteWritten*writtenBytes), 1
+	if accepts {
+		wantFree = reservedFiles
 	}
-	for last := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() <= last && l.worthwhile(); {
-		did, err := l.step(max(budget, leastMoved))
+	for last := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() <= last && l.shouldCompact(); {
+		done, err := l.compactStep(max(budget, minRewriteBytes))
 		if err != nil {
 			return fmt.Errorf("ledger: %w", err)
 		}
-		if budget -= did; budget <= 0 && l.log.FreeFiles() >= free {
+		if budget -= done; budget <= 0 && l.log.FreeFiles() >= wantFree {
 			break
 		}
 	}
-	if takes && !l.reserve() {
-		return l.why
+	if accepts && !l.reserve() {
+		return l.reserveErr
 	}
 	return nil
 }
 
-// reserve tells whether enough files are free, after making them where that can be. On a disk without room it tries
-// only now and then.
+// reserve reports whether the reserved files are free, allocating them if necessary. After a failure it retries only every
+// reserveRetryWrites writes.
 func (l *Ledger) reserve() bool {
 	if l.log.FreeFiles() >= reservedFiles {
-		l.tight = 0
+		l.writesUntilReserve = 0
 		return true
 	}
-	if l.tight--; l.tight > 0 {
+	if l.writesUntilReserve--; l.writesUntilReserve > 0 {
 		return false
 	}
 	err := l.log.Reserve(reservedFiles)
-	if l.tight = 0; err == nil {
+	if l.writesUntilReserve = 0; err == nil {
 		return true
 	}
-	l.tight, l.why = reserveRetry, fmt.Errorf("ledger: %w", err)
+	l.writesUntilReserve, l.reserveErr = reserveRetryWrites, fmt.Errorf("ledger: %w", err)
 	if errors.Is(err, seglog.ErrFull) {
-		l.why = ErrFull
+		l.reserveErr = ErrFull
 	}
 	return false
 }
 
-// worthwhile tells whether emptying the oldest segment wins room that is wanted: more is in use than twice what is owed,
-// or no more files can be had.
-func (l *Ledger) worthwhile() bool {
-	const beside = 2 // segments: the newest, and one that is being emptied
-	used := (l.log.UsedFiles() - beside) * l.room
-	return used > worthMovingAt*l.live || l.log.FreeFiles() < reservedFiles
+// shouldCompact reports whether the oldest segment should be compacted: used space exceeds minUsedToLiveRatio times the
+// live bytes, or the reserved files are not free.
+func (l *Ledger) shouldCompact() bool {
+	const inProgressSegments = 2 // the newest segment and the one being compacted
+	used := (l.log.UsedFiles() - inProgressSegments) * l.segmentCapacity
+	return used > minUsedToLiveRatio*l.liveBytes || l.log.FreeFiles() < reservedFiles
 }
 
-// step writes again what is owed in the oldest segment, up to so many bytes, and gives it back once nothing is. It tells
-// the bytes it wrote, or looked at.
-func (l *Ledger) step(budget int) (int, error) {
-	const look = 16 // what passing over one that is over counts for
-	oldest, did := l.log.OldestSegment(), 0
-	list := l.members[oldest]
-	for ; l.cursor < len(list); l.cursor++ {
-		x := list[l.cursor]
-		if x.over || x.segment != oldest {
-			did += look
+// compactStep rewrites pending notifications of the oldest segment until the budget in bytes is used, and releases the
+// segment once none are left. It returns the part of the budget that it used.
+func (l *Ledger) compactStep(budget int) (int, error) {
+	const skipCost = 16 // bytes of the budget charged for skipping a notification that needs no rewriting
+	oldest, done := l.log.OldestSegment(), 0
+	list := l.bySegment[oldest]
+	for ; l.compactCursor < len(list); l.compactCursor++ {
+		p := list[l.compactCursor]
+		if p.completed || p.segment != oldest {
+			done += skipCost
 			continue
 		}
-		if did >= budget {
-			return did, nil
+		if done >= budget {
+			return done, nil
 		}
-		if err := l.rewrite(x); err != nil {
-			return did, err
+		if err := l.rewrite(p); err != nil {
+			return done, err
 		}
-		did += x.size
+		done += p.chargedBytes
 	}
-	delete(l.members, oldest)
-	l.cursor = 0
-	return did + look, l.log.ReleaseOldest()
+	delete(l.bySegment, oldest)
+	l.compactCursor = 0
+	return done + skipCost, l.log.ReleaseOldest()
 }
 
-// rewrite writes all that is needed of a notification into the newest segment, as one record: a part of it would make a push
-// that may have run one that never did.
-func (l *Ledger) rewrite(x *Pending) error {
-	b := encode(nil, Record{Kind: Batch, ID: x.Message.ID, Parts: x.records()})
+// rewrite writes the state of a notification to the newest segment as a single record. If only a part of it were stored, a
+// push that may have run would later count as one that never ran.
+func (l *Ledger) rewrite(p *Pending) error {
+	b := encode(nil, Record{Kind: Batch, ID: p.Message.ID, Parts: p.minimalRecords()})
 	segment, err := l.log.Append(b)
 	if err != nil {
 		return err
 	}
-	x.segment = segment
-	l.members[segment] = append(l.members[segment], x)
-	l.moved += len(b) + seglog.RecordOverhead
+	p.segment = segment
+	l.bySegment[segment] = append(l.bySegment[segment], p)
+	l.rewrittenBytes += len(b) + seglog.RecordOverhead
 	return nil
 }
 
-// Compact writes all that is owed again, gives the room of the rest back to the disk, and keeps the reserve.
+// Compact rewrites all pending notifications of the older segments, and removes the files that become free, except for
+// the reserved ones.
 func (l *Ledger) Compact() error {
 	for last := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() < last; {
-		if _, err := l.step(largestSegment); err != nil {
+		if _, err := l.compactStep(maxSegmentBytes); err != nil {
 			return fmt.Errorf("ledger: %w", err)
 		}
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger keeps what a dispatcher owes in the folder that outlives its process: as records in a segmented log, and
-// in memory what they come to. The oldest segment is emptied a little with each write, by writing the few notifications
-// that are still owed in it again.
+// Package ledger persists the pending notifications of a dispatcher: those accepted from clients and not completed yet.
+// Changes are appended as records to a segmented log, and the resulting state is held in memory. Compaction is
+// incremental: each write also rewrites a few of the notifications in the oldest segment that are still pending.
 //
-// The records of a notification may be of several processes, one after another. What an earlier one left behind is never
-// taken back by a later one: each call has a number, and the record of its end names it (state.go).
+// The records of a notification may come from several successive processes. A later process never revokes that a call of
+// an earlier one may have run: each call has a number, and the record of its end refers to it (see state.go).
 package ledger
 
 import (
@@ -17,149 +17,152 @@
 	"orchiddrift/seglog"
 )
 
-// ErrFull tells that a record does not fit the folder.
-var ErrFull = errors.New("no room in the ledger")
+// ErrFull is returned when records do not fit in the space that the ledger may use.
+var ErrFull = errors.New("no space left in the ledger")
 
-// How a folder is cut into files. Sizes are bytes.
+// Layout of the folder.
 const (
-	folderOverhead  = 4096     // kept free for the folder itself
-	segments        = 48       // the folder is cut into so many, where that makes them large enough for a message
-	smallestSegment = 72 << 10 // a message with its body fits
-	largestSegment  = 4 << 20  // larger ones gain nothing
-	fewestSegments  = 8        // files that a ledger works with
-	reservedFiles   = 2        // kept free: ends are written into them where the disk has no room
-	fillShare       = 0.65     // of the files but the reserved and the newest may hold what is owed
-	laterRecords    = 256      // what a notification's later records may take, ids and endpoints aside
+	folderOverheadBytes = 4096     // part of the limit left for the directory itself
+	targetSegments      = 48       // number of segments, unless they would be smaller than minSegmentBytes
+	minSegmentBytes     = 72 << 10 // holds a message with its body
+	maxSegmentBytes     = 4 << 20  // larger segments bring no benefit
+	minSegments         = 8        // smallest number of segments that the ledger works with
+	reservedFiles       = 2        // free files reserved so that ends can be written while the disk is full
+	maxFillRatio        = 0.65     // part of the capacity, without the reserved and the newest segment, for pending notifications
+	laterRecordsBytes   = 256      // allowance for the later records of a notification, without IDs and endpoints
 )
 
-// Ledger is the open folder. It is one goroutine's.
+// Ledger is an open ledger. It is not safe for concurrent use.
 type Ledger struct {
-	log      *seglog.Log
-	room     int // bytes for records in a file
-	live     int // bytes that the owed count for
-	owed     map[string]*Pending
-	members  map[int][]*Pending // by segment: those taken, or written again, there
-	cursor   int                // members of the oldest segment that were seen to
-	taken    int                // the place of the last taking in the order of all
-	lastCall uint64             // the highest number of a call that a record names
-	moved    int                // bytes written again, in all
-	tight    int                // writes until files are asked for again: the disk had no room for the reserve
-	why      error              // that there is no reserve
-	buf      []byte             // what is being written
-	part     []byte             // one record of it
+	log                *seglog.Log
+	segmentCapacity    int // bytes for records in a segment
+	liveBytes          int // space charged for all pending notifications
+	pending            map[string]*Pending
+	bySegment          map[int][]*Pending // by number of the segment that they were accepted or rewritten in
+	compactCursor      int                // index of the next notification to compact in the oldest segment
+	lastSeq            int                // highest sequence number of an accepted notification
+	lastCallNumber     uint64             // highest call number in a record
+	rewrittenBytes     int                // total size of rewritten records
+	writesUntilReserve int                // writes until allocating the reserved files is retried
+	reserveErr         error              // why the reserved files could not be allocated
+	buf                []byte             // encoded records of the current write
+	partBuf            []byte             // one encoded record of a batch
 }
 
-// Report tells what opening found.
+// Report describes what Open found.
 type Report struct {
 	seglog.Report
-	Migrated  int `json:"taken_over,omitempty"` // records out of the old single file
-	Orphaned  int `json:"strangers,omitempty"`  // records of notifications whose taking is lost or over
+	Migrated  int `json:"taken_over,omitempty"` // records migrated from the legacy file
+	Orphaned  int `json:"strangers,omitempty"`  // records ignored: undecodable, or of a notification that is completed or unknown
 	Pending   int `json:"owed"`
 	LiveBytes int `json:"live_bytes"`
 }
 
-// cutFolder cuts a folder of so many bytes into files.
-func cutFolder(limit int) (file, count int) {
-	usable := limit - folderOverhead
-	file = min(max(usable/segments, min(smallestSegment, usable/fewestSegments)), largestSegment)
-	return file, usable / file
+// segmentLayout returns the size and number of the segments for a folder of limit bytes.
+func segmentLayout(limit int) (segmentBytes, segmentCount int) {
+	usable := limit - folderOverheadBytes
+	segmentBytes = min(max(usable/targetSegments, min(minSegmentBytes, usable/minSegments)), maxSegmentBytes)
+	return segmentBytes, usable / segmentBytes
 }
 
-// Options say how a ledger is kept.
+// Options configures a ledger.
 type Options struct {
-	Limit    int  // bytes that all files together may take, in whole blocks
-	Sync     bool // what is written is on the disk when Write returns
-	ReadOnly bool // only read: the folder stays as it is
+	Limit    int  // maximum total size of the files in whole blocks, in bytes
+	Sync     bool // sync records to disk before Write returns
+	ReadOnly bool // leave the folder unchanged
 }
 
-// Open reads the folder, and returns what is still owed in the order it was taken. A push that was out when its process
-// ended may have run; so may all that was owed when a part of the records cannot be read.
-func Open(folder disk.Folder, o Options) (*Ledger, []Pending, Report, error) {
-	l := &Ledger{owed: map[string]*Pending{}, members: map[int][]*Pending{}}
+// Open reads the ledger and returns the pending notifications in the order in which they were accepted. A call that was
+// open when its process ended counts as one that may have run. After a damaged range of the log, all notifications that
+// were pending there count as having a call that may have run.
+func Open(folder disk.Folder, options Options) (*Ledger, []Pending, Report, error) {
+	l := &Ledger{pending: map[string]*Pending{}, bySegment: map[int][]*Pending{}}
 	var report Report
 	fail := func(err error) (*Ledger, []Pending, Report, error) {
 		return nil, nil, report, fmt.Errorf("ledger: %w", err)
 	}
 	var legacy []byte
 	var err error
-	if !o.ReadOnly {
+	if !options.ReadOnly {
 		if legacy, err = readLegacy(folder); err != nil {
 			return fail(err)
 		}
 	}
-	file, count := cutFolder(o.Limit)
-	l.room = file - seglog.HeaderSize
-	l.log, report.Report, err = seglog.Open(folder, seglog.Options{SegmentBytes: file, MaxFiles: count, Sync: o.Sync, ReadOnly: o.ReadOnly},
+	segmentBytes, segmentCount := segmentLayout(options.Limit)
+	l.segmentCapacity = segmentBytes - seglog.HeaderSize
+	l.log, report.Report, err = seglog.Open(folder, seglog.Options{SegmentBytes: segmentBytes, MaxFiles: segmentCount, Sync: options.Sync, ReadOnly: options.ReadOnly},
 		func(segment int, b []byte) {
 			r, err := decode(b)
-			if err != nil || r.Kind != Accepted && r.Kind != Batch && l.owed[r.ID] == nil {
+			if err != nil || r.Kind != Accepted && r.Kind != Batch && l.pending[r.ID] == nil {
 				report.Orphaned++
 				return
 			}
 			l.apply(r, segment, len(b))
 		},
-		func(seglog.Damage) { l.recordsLost() })
+		func(seglog.Damage) { l.assumeAllMayHaveRun() })
 	if err != nil {
 		return fail(err)
 	}
-	if !o.ReadOnly {
-		l.reserve() // a disk without room takes nothing new on, but what is owed goes on
+	if !options.ReadOnly {
+		l.reserve() // failure is no error: on a full disk, pending notifications can still be completed
 	}
 	if legacy != nil {
-		if report.Migrated, err = l.takeOver(folder, legacy); err != nil {
+		if report.Migrated, err = l.migrateLegacy(folder, legacy); err != nil {
 			return fail(err)
 		}
 	}
-	l.lastCall = max(l.lastCall, l.log.LastSeq())
+	l.lastCallNumber = max(l.lastCallNumber, l.log.LastSeq())
 	var list []Pending
-	for _, x := range l.inOrder() {
-		x.leftOut()
-		o, m := *x, *x.Message // the caller's own: what is written later changes the ledger's
-		o.Message = &m
-		list = append(list, o)
+	for _, p := range l.pendingInOrder() {
+		p.assumeOpenCallRan()
+		pending, message := *p, *p.Message // copies, since later writes change the ledger's own state
+		pending.Message = &message
+		list = append(list, pending)
 	}
-	report.Pending, report.LiveBytes = len(list), l.live
+	report.Pending, report.LiveBytes = len(list), l.liveBytes
 	return l, list, report, nil
 }
 
-// LastCallNumber is a number that no call in the folder exceeds, nor one of a process before: calls are numbered from there on.
-func (l *Ledger) LastCallNumber() uint64 { return l.lastCall }
+// LastCallNumber returns a number that no call of this or an earlier process exceeds. New calls must be given higher
+// numbers.
+func (l *Ledger) LastCallNumber() uint64 { return l.lastCallNumber }
 
-// HasRoom tells whether a new notification with so large a body fits, with room left for what will be told of it.
-func (l *Ledger) HasRoom(body int) bool {
-	const head = 1024 // its other fields
-	n := l.log.MaxFiles() - reservedFiles - 1
-	return l.log.Fits(body+head) && float64(l.live+l.counts(body+head)) <= fillShare*float64(n*l.room)
+// HasRoom reports whether there is space for a new notification with a body of the given size and its later records.
+func (l *Ledger) HasRoom(bodyBytes int) bool {
+	const otherFieldsBytes = 1024 // allowance for the fields of a message other than the body
+	usableSegments := l.log.MaxFiles() - reservedFiles - 1
+	return l.log.Fits(bodyBytes+otherFieldsBytes) && float64(l.liveBytes+l.chargedBytes(bodyBytes+otherFieldsBytes)) <= maxFillRatio*float64(usableSegments*l.segmentCapacity)
 }
 
-// counts is what a record of a taking counts for: where few of its size go into a segment, its part of all of it.
-func (l *Ledger) counts(record int) int {
-	n := l.room / (record + seglog.RecordOverhead + laterRecords)
-	return l.room / max(1, n)
+// chargedBytes returns the space that an Accepted record of the given size is charged for. Records do not span segments,
+// so it is the segment capacity divided by the number of such notifications that fit in a segment.
+func (l *Ledger) chargedBytes(recordBytes int) int {
+	recordsPerSegment := l.segmentCapacity / (recordBytes + seglog.RecordOverhead + laterRecordsBytes)
+	return l.segmentCapacity / max(1, recordsPerSegment)
 }
 
-// BatchBytes is how many bytes of records are best written in one go: so many surely fit a segment.
+// BatchBytes returns the recommended size of the records in one Write. A batch of that size always fits in a segment.
 func (l *Ledger) BatchBytes() int {
-	const part = 3 // of a segment
-	return l.room / part
+	const batchesPerSegment = 3 // number of batches of the recommended size per segment
+	return l.segmentCapacity / batchesPerSegment
 }
 
-// Write appends records in one go: all of them are there afterwards, or none is, also where the write fails part-way, what it
-// left cannot be wiped and the process ends. Takings among them need files in reserve, ends do not: where the disk has no room
-// they use those.
+// Write appends records atomically: either all of them are stored or none is, even if the write fails part-way, its
+// remains cannot be wiped and the process ends. Accepted records require the reserved free files, other records may use
+// them when the disk is full.
 //
-// It guards against takings that were refused as the folder failed, and that the next process calls all the same.
+// Atomicity ensures that a later process does not push a notification that was refused because its write failed.
 func (l *Ledger) Write(records ...Record) error {
-	takes := false
+	accepts := false
 	for i := range records {
 		if r := &records[i]; r.Kind == Accepted && r.Seq == 0 {
-			l.taken++
-			r.Seq = l.taken
+			l.lastSeq++
+			r.Seq = l.lastSeq
 		}
-		takes = takes || records[i].Kind == Accepted
+		accepts = accepts || records[i].Kind == Accepted
 	}
 	l.encode(records)
-	if err := l.compact(len(l.buf)+seglog.RecordOverhead, takes); err != nil && takes {
+	if err := l.compact(len(l.buf)+seglog.RecordOverhead, accepts); err != nil && accepts {
 		return err
 	}
 	segment, err := l.log.Append(l.buf)
@@ -175,11 +178,11 @@
 	return nil
 }
 
-// DiscardFailedWrite makes sure that no later process reads what a failed write left, and tells whether that is so. Until then a message
-// whose taking failed must not be told as refused.
+// DiscardFailedWrite ensures that no later process reads the records of a failed write, and reports whether that is
+// ensured. Until then, a message whose Accepted record failed to be written must not be answered as refused.
 func (l *Ledger) DiscardFailedWrite() bool { return l.log.DiscardFailedWrite() == nil }
 
-// encode puts records into the buffer as one, and notes what each of them takes.
+// encode encodes the records into the buffer, several of them as one Batch record, and sets the size of each.
 func (l *Ledger) encode(records []Record) {
 	l.buf = l.buf[:0]
 	if len(records) == 1 {
@@ -187,30 +190,30 @@
 		records[0].size = len(l.buf)
 		return
 	}
-	l.buf = putText(append(l.buf, byte(Batch)), "")
+	l.buf = appendString(append(l.buf, byte(Batch)), "")
 	for i := range records {
-		l.part = encode(l.part[:0], records[i])
-		records[i].size = len(l.part)
-		l.buf = append(binary.AppendUvarint(l.buf, uint64(len(l.part))), l.part...)
+		l.partBuf = encode(l.partBuf[:0], records[i])
+		records[i].size = len(l.partBuf)
+		l.buf = append(binary.AppendUvarint(l.buf, uint64(len(l.partBuf))), l.partBuf...)
 	}
 }
 
-// RewrittenBytes is how many bytes were written again so far.
-func (l *Ledger) RewrittenBytes() int { return l.moved }
+// RewrittenBytes returns the total size of the records that compaction has rewritten.
+func (l *Ledger) RewrittenBytes() int { return l.rewrittenBytes }
 
-// LiveBytes is how many bytes what is owed counts for, of how many the files hold.
-func (l *Ledger) LiveBytes() (live, of int) {
-	return l.live, (l.log.UsedFiles() + l.log.FreeFiles()) * l.room
+// LiveBytes returns the space charged for pending notifications and the capacity of all allocated files.
+func (l *Ledger) LiveBytes() (live, capacity int) {
+	return l.liveBytes, (l.log.UsedFiles() + l.log.FreeFiles()) * l.segmentCapacity
 }
 
-// Close closes the files.
+// Close closes the files of the ledger.
 func (l *Ledger) Close() error { return l.log.Close() }
 
-// inOrder lists what is owed as it was taken.
-func (l *Ledger) inOrder() []*Pending {
-	list := make([]*Pending, 0, len(l.owed))
-	for _, x := range l.owed {
-		list = append(list, x)
+// pendingInOrder returns the pending notifications in the order in which they were accepted.
+func (l *Ledger) pendingInOrder() []*Pending {
+	list := make([]*Pending, 0, len(l.pending))
+	for _, p := range l.pending {
+		list = append(list, p)
 	}
 	slices.SortFunc(list, func(a, b *Pending) int { return cmp.Compare(a.seq, b.seq) })
 	return list
--- a/ledger/legacy.go
+++ b/ledger/legacy.go
@@ -8,11 +8,11 @@
 	"orchiddrift/disk"
 )
 
-// legacyFile is the whole ledger before there were segments.
+// legacyFile is the name of the single file that held the ledger in versions without segments.
 const legacyFile = "ledger"
 
-// readLegacy reads the old single file, where there is one. While it is there segments hold at most a part of it, of a
-// takeover that was cut short, and go.
+// readLegacy returns the content of the legacy file, or nil if there is none. If it exists, any segments are from an
+// interrupted migration, and are removed.
 func readLegacy(folder disk.Folder) ([]byte, error) {
 	names, err := folder.List()
 	if err != nil || !slices.Contains(names, legacyFile) {
@@ -27,8 +27,8 @@
 	if err != nil {
 		return nil, err
 	}
-	text := make([]byte, n)
-	if _, err := f.ReadAt(text, 0); err != nil && !errors.Is(err, io.EOF) {
+	content := make([]byte, n)
+	if _, err := f.ReadAt(content, 0); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
 	for _, name := range names {
@@ -38,27 +38,27 @@
 			}
 		}
 	}
-	return text, nil
+	return content, nil
 }
 
-// takeOver writes what the old file owes into segments, then removes it. Both together may take more than the limit for
-// that moment, by what is owed.
-func (l *Ledger) takeOver(folder disk.Folder, text []byte) (int, error) {
-	n := 0
-	for len(text) > 0 {
-		r, size, err := decodeOld(text)
+// migrateLegacy writes the pending notifications of the legacy file to segments, then removes the file. It returns the
+// number of records read. Until the file is removed, the folder may exceed its limit by the size of these notifications.
+func (l *Ledger) migrateLegacy(folder disk.Folder, content []byte) (int, error) {
+	records := 0
+	for len(content) > 0 {
+		r, size, err := decodeLegacy(content)
 		if err != nil {
-			break // the tail was being written when the process ended
+			break // a torn write at the end of the file
 		}
-		if r.Kind == Accepted || l.owed[r.ID] != nil {
+		if r.Kind == Accepted || l.pending[r.ID] != nil {
 			l.apply(r, 0, size)
 		}
-		text, n = text[size:], n+1
+		content, records = content[size:], records+1
 	}
-	for _, x := range l.inOrder() {
-		if err := l.rewrite(x); err != nil {
-			return n, err
+	for _, p := range l.pendingInOrder() {
+		if err := l.rewrite(p); err != nil {
+			return records, err
 		}
 	}
-	return n, folder.Remove(legacyFile)
+	return records, folder.Remove(legacyFile)
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -9,177 +9,178 @@
 	"orchiddrift/message"
 )
 
-// Kind says what a record tells of its notification.
+// Kind is the kind of a record. The values are part of the storage format.
 type Kind byte
 
-// The kinds of record.
+// Kinds of records.
 const (
-	Accepted       Kind = iota + 1 // taken on, with all of it
-	CallStarted                    // a push is about to be written
-	CallNotRun                     // the call that it names never ran
-	CallMayHaveRun                 // the call that it names may have run
-	NoticePending                  // it is to be ended by a notice
-	Completed                      // nothing more is owed
-	Batch                          // several records in one: they are there whole or not at all
+	Accepted       Kind = iota + 1 // a notification was accepted; holds the whole message
+	CallStarted                    // a call with the notification is about to be sent
+	CallNotRun                     // the call with the given number never ran
+	CallMayHaveRun                 // the call with the given number may have run
+	NoticePending                  // a notice has to be sent to end the notification
+	Completed                      // the notification is completed
+	Batch                          // several records, stored atomically
 )
 
-// Record is one line of the ledger.
+// Record is one entry of the ledger. Field comments name the record kinds that use the field.
 type Record struct {
 	Kind       Kind
 	ID         string
-	Message    *message.Message // Taken
-	StartedAt  float64          // Began: when
-	Endpoint   string           // Began: the endpoint
-	Zone       string           // Began: the endpoint's zone, as listed then
-	CallNumber uint64           // Began, NotRun, MayRun: the call's number; 0 in records of versions that had none
-	Unsent     bool             // NotRun: nothing of it was sent, and it counts as no push
-	Outcome    string           // Noticed: its wording
-	RetryIn    float64          // Noticed: seconds, 0 for none
-	Pushes     int              // Taken: pushes so far, where a group tells again all that is needed of it
-	Seq        int              // Taken: its place in the order of takings
-	Parts      []Record         // Group
-	size       int              // bytes that it takes, as it was read
+	Message    *message.Message // Accepted
+	StartedAt  float64          // CallStarted: start of the call, in seconds of the dispatcher's clock
+	Endpoint   string           // CallStarted: ID of the endpoint
+	Zone       string           // CallStarted: zone of the endpoint, as listed at that time
+	CallNumber uint64           // CallStarted, CallNotRun, CallMayHaveRun: 0 in records of versions without call numbers
+	Unsent     bool             // CallNotRun: nothing of the call was sent, so that it does not count as a push
+	Outcome    string           // NoticePending: outcome that the notice reports
+	RetryIn    float64          // NoticePending: seconds, 0 for none
+	Pushes     int              // Accepted: pushes so far, when rewritten by compaction
+	Seq        int              // Accepted: position in the order of acceptance; 0 if not assigned yet
+	Parts      []Record         // Batch
+	size       int              // size of the encoded record, in bytes
 }
 
-var errTorn = errors.New("torn record")
+var errTornRecord = errors.New("torn or invalid record")
 
-// Records of earlier versions lack the fields that came later: a Taken ends before Seq, or before RanZone and RanCall, a
-// Began before Zone, a NotRun and a MayRun before Call. Those versions pass over what they do not know.
+// Records of earlier versions lack the fields added later: Accepted may end before Seq, or before RanZone and RanCall,
+// CallStarted before Zone, CallNotRun and CallMayHaveRun before CallNumber. Earlier versions ignore the additional fields.
 
-// encode appends a record's fields to b.
+// encode appends the encoded record to b.
 func encode(b []byte, r Record) []byte {
 	b = append(b, byte(r.Kind))
-	b = putText(b, r.ID)
+	b = appendString(b, r.ID)
 	switch r.Kind {
 	case Accepted:
 		m := r.Message
 		for _, s := range []string{m.Topic, m.Tenant, m.Dest, m.Key, m.IdempotencyKey, m.RanTo} {
-			b = putText(b, s)
+			b = appendString(b, s)
 		}
 		b = append(binary.AppendUvarint(b, uint64(len(m.Body))), m.Body...)
-		b = putFloat(putFloat(b, m.ExpiresAt), m.RanAt)
+		b = appendFloat(appendFloat(b, m.ExpiresAt), m.RanAt)
 		b = binary.AppendUvarint(b, uint64(r.Pushes))
 		b = binary.AppendUvarint(b, uint64(r.Seq))
 		if m.RanAt > 0 {
-			b = binary.AppendUvarint(putText(b, m.RanZone), m.RanCall)
+			b = binary.AppendUvarint(appendString(b, m.RanZone), m.RanCall)
 		}
 	case Batch:
 		for _, part := range r.Parts {
-			b = putText(b, string(encode(nil, part)))
+			b = appendString(b, string(encode(nil, part)))
 		}
 	case CallStarted:
-		b = putText(putText(putFloat(b, r.StartedAt), r.Endpoint), r.Zone)
+		b = appendString(appendString(appendFloat(b, r.StartedAt), r.Endpoint), r.Zone)
 		b = binary.AppendUvarint(b, r.CallNumber)
 	case CallNotRun, CallMayHaveRun:
 		b = binary.AppendUvarint(b, r.CallNumber)
-		b = append(b, flag(r.Unsent))
+		b = append(b, boolByte(r.Unsent))
 	case NoticePending:
-		b = putFloat(putText(b, r.Outcome), r.RetryIn)
+		b = appendFloat(appendString(b, r.Outcome), r.RetryIn)
 	}
 	return b
 }
 
-// decode reads a record's fields. It keeps no part of b.
+// decode decodes a record. It does not retain b.
 func decode(b []byte) (Record, error) {
 	if len(b) == 0 {
-		return Record{}, errTorn
+		return Record{}, errTornRecord
 	}
-	f := &fields{b: b[1:]}
-	r := Record{Kind: Kind(b[0]), ID: f.text()}
+	f := &fieldReader{b: b[1:]}
+	r := Record{Kind: Kind(b[0]), ID: f.readString()}
 	switch r.Kind {
 	case Accepted:
 		m := &message.Message{}
 		m.ID = r.ID
 		for _, s := range []*string{&m.Topic, &m.Tenant, &m.Dest, &m.Key, &m.IdempotencyKey, &m.RanTo} {
-			*s = f.text()
+			*s = f.readString()
 		}
-		m.Body = []byte(f.text())
-		m.ExpiresAt, m.RanAt = f.float(), f.float()
-		if r.Message, r.Pushes = m, int(f.uint()); len(f.b) > 0 { // the old single file has no such number
-			r.Seq = int(f.uint())
+		m.Body = []byte(f.readString())
+		m.ExpiresAt, m.RanAt = f.readFloat(), f.readFloat()
+		if r.Message, r.Pushes = m, int(f.readUint()); len(f.b) > 0 { // the legacy file has no Seq
+			r.Seq = int(f.readUint())
 		}
 		if len(f.b) > 0 {
-			m.RanZone, m.RanCall = f.text(), f.uint()
+			m.RanZone, m.RanCall = f.readString(), f.readUint()
 		}
 	case Batch:
 		for len(f.b) > 0 {
-			text := f.text()
-			part, err := decode([]byte(text))
+			encoded := f.readString()
+			part, err := decode([]byte(encoded))
 			if err != nil || part.Kind == Batch {
-				return Record{}, errTorn
+				return Record{}, errTornRecord
 			}
-			part.size = len(text)
+			part.size = len(encoded)
 			r.Parts = append(r.Parts, part)
 		}
 	case CallStarted:
-		r.StartedAt, r.Endpoint = f.float(), f.text()
+		r.StartedAt, r.Endpoint = f.readFloat(), f.readString()
 		if len(f.b) > 0 {
-			r.Zone, r.CallNumber = f.text(), f.uint()
+			r.Zone, r.CallNumber = f.readString(), f.readUint()
 		}
 	case CallNotRun, CallMayHaveRun:
 		if len(f.b) > 0 {
-			r.CallNumber, r.Unsent = f.uint(), f.uint() > 0
+			r.CallNumber, r.Unsent = f.readUint(), f.readUint() > 0
 		}
 	case NoticePending:
-		r.Outcome, r.RetryIn = f.text(), f.float()
+		r.Outcome, r.RetryIn = f.readString(), f.readFloat()
 	}
-	if f.short || r.Kind < Accepted || r.Kind > Batch {
-		return Record{}, errTorn
+	if f.truncated || r.Kind < Accepted || r.Kind > Batch {
+		return Record{}, errTornRecord
 	}
 	return r, nil
 }
 
-// frame is a record's length and checksum in the file that was the whole ledger before there were segments.
-const frame = 8
+// legacyHeaderSize is the size of a record's header in the legacy file, in bytes: length and checksum.
+const legacyHeaderSize = 8
 
-// decodeOld reads the first record of such a file and tells its length.
-func decodeOld(b []byte) (Record, int, error) {
-	if len(b) < frame {
-		return Record{}, 0, errTorn
+// decodeLegacy decodes the first record in b, in the format of the legacy file. It returns the record and its size with
+// the header.
+func decodeLegacy(b []byte) (Record, int, error) {
+	if len(b) < legacyHeaderSize {
+		return Record{}, 0, errTornRecord
 	}
 	n := int(binary.LittleEndian.Uint32(b))
-	if n < 1 || n > len(b)-frame || crc32.ChecksumIEEE(b[frame:frame+n]) != binary.LittleEndian.Uint32(b[4:]) {
-		return Record{}, 0, errTorn
+	if n < 1 || n > len(b)-legacyHeaderSize || crc32.ChecksumIEEE(b[legacyHeaderSize:legacyHeaderSize+n]) != binary.LittleEndian.Uint32(b[4:]) {
+		return Record{}, 0, errTornRecord
 	}
-	r, err := decode(b[frame : frame+n])
-	return r, frame + n, err
+	r, err := decode(b[legacyHeaderSize : legacyHeaderSize+n])
+	return r, legacyHeaderSize + n, err
 }
 
-func putText(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-func putFloat(b []byte, v float64) []byte {
+func appendFloat(b []byte, v float64) []byte {
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(v))
 }
 
-func flag(set bool) byte {
+func boolByte(set bool) byte {
 	if set {
 		return 1
 	}
 	return 0
 }
 
-// fields reads a record's fields one after another; short tells that it held too little.
-type fields struct {
-	b     []byte
-	short bool
+// fieldReader reads the encoded fields of a record in order. truncated is set once the data ends within a field.
+type fieldReader struct {
+	b         []byte
+	truncated bool
 }
 
-func (f *fields) uint() uint64 {
+func (f *fieldReader) readUint() uint64 {
 	v, n := binary.Uvarint(f.b)
 	if n <= 0 {
-		f.short, f.b = true, nil
+		f.truncated, f.b = true, nil
 		return 0
 	}
 	f.b = f.b[n:]
 	return v
 }
 
-func (f *fields) text() string {
-	n := f.uint()
+func (f *fieldReader) readString() string {
+	n := f.readUint()
 	if n > uint64(len(f.b)) {
-		f.short, f.b = true, nil
+		f.truncated, f.b = true, nil
 		return ""
 	}
 	s := string(f.b[:n])
@@ -187,9 +188,9 @@
 	return s
 }
 
-func (f *fields) float() float64 {
+func (f *fieldReader) readFloat() float64 {
 	if len(f.b) < 8 {
-		f.short, f.b = true, nil
+		f.truncated, f.b = true, nil
 		return 0
 	}
 	v := math.Float64frombits(binary.LittleEndian.Uint64(f.b))
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -2,186 +2,187 @@
 
 import "orchiddrift/message"
 
-// unknownTime is when a push may have run whose record is lost: so long ago that nobody knows its mark.
-const unknownTime = 1
+// unknownRunTime is the RanAt, in Unix seconds, of a push that may have run and whose record is lost. It is so long ago
+// that no endpoint still remembers the idempotency key.
+const unknownRunTime = 1
 
-// Pending is a notification that still needs its end.
+// Pending is a notification that was accepted and is not completed yet. Its seq is the position in the order of acceptance.
 type Pending struct {
-	Message  *message.Message // with its pushes, and the first that may have run
-	Notice   *Record          // its notice, if that is all it still needs
-	LastCall Call             // its last call, as far as records of it are still there
-	out      *Record          // the Began of the call that has no end yet
-	seq      int
-	size     int // bytes that it counts for
-	segment  int // where its oldest record is that is still needed
-	over     bool
+	Message      *message.Message // with the number of pushes and the first call that may have run
+	Notice       *Record          // the notice that has to be answered, or nil if the notification still has to be pushed
+	LastCall     Call             // the last call, if its records are still stored
+	openCall     *Record          // the CallStarted record of the call without an end, or nil
+	seq          int
+	chargedBytes int // space charged for it
+	segment      int // number of the segment with its oldest record that is still needed
+	completed    bool
 }
 
-// CallEnd says what the records tell of how a call ended.
+// CallEnd describes how a call ended, according to its records.
 type CallEnd string
 
-// The ends of a call.
+// Ends of a call.
 const (
-	EndNone       CallEnd = ""             // there is no call, or none whose record is still needed
-	EndUnanswered CallEnd = "unanswered"   // it was out when its process ended
-	EndNeverRan   CallEnd = "never ran"    // it never ran
-	EndMayHaveRun CallEnd = "may have run" // it was answered so, or went unheard
+	EndNone       CallEnd = ""             // no call, or its records are no longer stored
+	EndUnanswered CallEnd = "unanswered"   // no end was recorded before the process ended
+	EndNeverRan   CallEnd = "never ran"    // the call never ran
+	EndMayHaveRun CallEnd = "may have run" // the answer left open whether it ran, or there was none
 )
 
-// Call is a call as its records tell it.
+// Call is a call as described by its records.
 type Call struct {
-	Number    uint64  // its number
-	StartedAt float64 // when it began, seconds of the dispatcher's clock
-	Endpoint  string  // the endpoint
+	Number    uint64  // call number
+	StartedAt float64 // start of the call, in seconds of the dispatcher's clock
+	Endpoint  string  // ID of the endpoint
 	End       CallEnd
 }
 
-// State is what is to become of a notification that is owed.
+// State is the state of a pending notification.
 type State int
 
-// The states.
+// States of a pending notification.
 const (
-	Untried          State = iota // no call of it was ever begun
-	Tried                         // its calls never ran
-	Uncertain                     // one of its calls may have run
-	NoticeUnanswered              // it waits for the answer to its notice
+	Untried          State = iota // no call was started
+	Tried                         // calls were started, but none of them ran
+	Uncertain                     // a call may have run
+	NoticeUnanswered              // the notice was not answered yet
 )
 
-// String is the state's name in logs and metrics.
+// String returns the name of the state in logs and metrics.
 func (s State) String() string {
 	return [...]string{"untried", "tried", "may have run", "notice unanswered"}[s]
 }
 
-// State tells what is to become of it.
-func (x Pending) State() State {
+// State returns the state of the notification.
+func (p Pending) State() State {
 	switch {
-	case x.Notice != nil:
+	case p.Notice != nil:
 		return NoticeUnanswered
-	case x.Message.RanAt > 0:
+	case p.Message.RanAt > 0:
 		return Uncertain
-	case x.Message.Pushes > 0:
+	case p.Message.Pushes > 0:
 		return Tried
 	}
 	return Untried
 }
 
-// apply takes a record of so many bytes in a segment into what is owed.
+// apply updates the state in memory with a record of the given size in a segment.
 func (l *Ledger) apply(r Record, segment, bytes int) {
-	x := l.owed[r.ID]
-	l.lastCall = max(l.lastCall, r.CallNumber)
+	p := l.pending[r.ID]
+	l.lastCallNumber = max(l.lastCallNumber, r.CallNumber)
 	switch {
 	case r.Kind == Batch:
 		for _, part := range r.Parts {
 			l.apply(part, segment, part.size)
 		}
 	case r.Kind == Accepted:
-		l.take(r, segment, bytes)
-	case x == nil: // already over
+		l.applyAccepted(r, segment, bytes)
+	case p == nil: // already completed
 	case r.Kind == CallStarted:
-		x.began(&r)
+		p.applyCallStarted(&r)
 	case r.Kind == CallNotRun:
-		x.notRun(r)
+		p.applyCallNotRun(r)
 	case r.Kind == CallMayHaveRun:
-		x.mayRun(r)
+		p.applyCallMayHaveRun(r)
 	case r.Kind == NoticePending:
-		x.Notice = &r
+		p.Notice = &r
 	case r.Kind == Completed:
-		l.live -= x.size
-		x.over, x.Message, x.Notice, x.out = true, nil, nil, nil // its segment goes later
-		delete(l.owed, r.ID)
+		l.liveBytes -= p.chargedBytes
+		p.completed, p.Message, p.Notice, p.openCall = true, nil, nil, nil // stays in bySegment until its segment is compacted
+		delete(l.pending, r.ID)
 	}
 }
 
-// take takes in the taking of a notification, or what a group tells again.
-func (l *Ledger) take(r Record, segment, bytes int) {
-	if x := l.owed[r.ID]; x != nil {
-		l.live -= x.size
-		x.over, x.Message = true, nil
+// applyAccepted adds a notification, or replaces it if the record was rewritten by compaction.
+func (l *Ledger) applyAccepted(r Record, segment, bytes int) {
+	if replaced := l.pending[r.ID]; replaced != nil {
+		l.liveBytes -= replaced.chargedBytes
+		replaced.completed, replaced.Message = true, nil
 	}
 	m := *r.Message
 	m.Pushes = r.Pushes
 	if r.Seq == 0 {
-		r.Seq = l.taken + 1
+		r.Seq = l.lastSeq + 1
 	}
-	l.taken = max(l.taken, r.Seq)
-	x := &Pending{Message: &m, seq: r.Seq, size: l.counts(bytes), segment: segment}
-	l.owed[r.ID] = x
-	l.live += x.size
-	l.members[segment] = append(l.members[segment], x)
+	l.lastSeq = max(l.lastSeq, r.Seq)
+	p := &Pending{Message: &m, seq: r.Seq, chargedBytes: l.chargedBytes(bytes), segment: segment}
+	l.pending[r.ID] = p
+	l.liveBytes += p.chargedBytes
+	l.bySegment[segment] = append(l.bySegment[segment], p)
 }
 
-// began takes in that a call is about to be written. One that had no end by then is of a process that ended.
-func (x *Pending) began(r *Record) {
-	x.leftOut()
-	x.Message.Pushes++
-	x.out = r
-	x.LastCall = Call{Number: r.CallNumber, StartedAt: r.StartedAt, Endpoint: r.Endpoint, End: EndUnanswered}
+// applyCallStarted applies the start of a call. A previous call that is still open is of a process that ended.
+func (p *Pending) applyCallStarted(r *Record) {
+	p.assumeOpenCallRan()
+	p.Message.Pushes++
+	p.openCall = r
+	p.LastCall = Call{Number: r.CallNumber, StartedAt: r.StartedAt, Endpoint: r.Endpoint, End: EndUnanswered}
 }
 
-// notRun takes in that a call never ran. It counts for that call alone: an end that names another, or none, as records of
-// earlier versions do, may be of a later process whose own attempt came to nothing, while the call without an end is of
-// a process that was killed. It does harm to what an earlier version was owing when it ended: calls that were turned away
-// then count as what may have run.
+// applyCallNotRun applies that a call never ran. It has no effect unless the call number matches the open call. A record
+// with another number, or none as in records of earlier versions, may be of a later process whose own call was not sent,
+// while the open call is of a process that was killed. The drawback concerns notifications left pending by an earlier
+// version: their calls that never ran count as ones that may have run.
 //
-// It guards against a repeat outside its window and group after two restarts (incident of 2026-12-02).
-func (x *Pending) notRun(r Record) {
-	if x.out == nil || r.CallNumber == 0 || x.out.CallNumber != r.CallNumber {
+// This prevents a repeat outside its window and group after two restarts (incident of 2026-12-02).
+func (p *Pending) applyCallNotRun(r Record) {
+	if p.openCall == nil || r.CallNumber == 0 || p.openCall.CallNumber != r.CallNumber {
 		return
 	}
-	x.out, x.LastCall.End = nil, EndNeverRan
+	p.openCall, p.LastCall.End = nil, EndNeverRan
 	if r.Unsent {
-		x.Message.Pushes--
+		p.Message.Pushes--
 	}
 }
 
-// mayRun takes in that a call may have run. One whose beginning is not among the records may have run long ago.
-func (x *Pending) mayRun(r Record) {
-	if x.out != nil && x.out.CallNumber == r.CallNumber {
-		x.ran()
-		x.LastCall.End = EndMayHaveRun
+// applyCallMayHaveRun applies that a call may have run. If the start of the call is not recorded, its time is unknown.
+func (p *Pending) applyCallMayHaveRun(r Record) {
+	if p.openCall != nil && p.openCall.CallNumber == r.CallNumber {
+		p.markOpenCallMayHaveRun()
+		p.LastCall.End = EndMayHaveRun
 		return
 	}
-	x.leftOut()
-	if x.Message.RanAt == 0 {
-		x.Message.RanAt = unknownTime
+	p.assumeOpenCallRan()
+	if p.Message.RanAt == 0 {
+		p.Message.RanAt = unknownRunTime
 	}
 }
 
-// leftOut concludes of a call without an end that it may have run: its process ended while it was out. Nothing that is
-// written later takes that back, so that it need not be written itself: each process that reads the records concludes the same.
-func (x *Pending) leftOut() {
-	if x.out != nil {
-		x.ran()
+// assumeOpenCallRan treats a call without an end as one that may have run, since its process ended during the call. No
+// later record revokes this, so it is not recorded: every process that reads the records concludes the same.
+func (p *Pending) assumeOpenCallRan() {
+	if p.openCall != nil {
+		p.markOpenCallMayHaveRun()
 	}
 }
 
-// ran notes that the call that was out may have run. The first such call counts.
-func (x *Pending) ran() {
-	if m := x.Message; m.RanAt == 0 {
-		m.RanAt, m.RanTo, m.RanZone, m.RanCall = x.out.StartedAt, x.out.Endpoint, x.out.Zone, x.out.CallNumber
+// markOpenCallMayHaveRun closes the open call as one that may have run. Only the first such call is kept in the message.
+func (p *Pending) markOpenCallMayHaveRun() {
+	if m := p.Message; m.RanAt == 0 {
+		m.RanAt, m.RanTo, m.RanZone, m.RanCall = p.openCall.StartedAt, p.openCall.Endpoint, p.openCall.Zone, p.openCall.CallNumber
 	}
-	x.out = nil
+	p.openCall = nil
 }
 
-// recordsLost takes all that is owed as what may have run: records are lost, and one may have told of a push. It does harm
-// to notifications that never ran: those that may not be repeated are given up.
-func (l *Ledger) recordsLost() {
-	for _, x := range l.owed {
-		if x.Message.RanAt == 0 {
-			x.Message.RanAt = unknownTime
+// assumeAllMayHaveRun treats all pending notifications as ones that may have run, since a lost record may have been the
+// start of a call. The drawback is that notifications that never ran and may not be repeated are given up.
+func (l *Ledger) assumeAllMayHaveRun() {
+	for _, p := range l.pending {
+		if p.Message.RanAt == 0 {
+			p.Message.RanAt = unknownRunTime
 		}
 	}
 }
 
-// records are the fewest that tell what is owed of a notification.
-func (x *Pending) records() []Record {
-	list := []Record{{Kind: Accepted, ID: x.Message.ID, Message: x.Message, Pushes: x.Message.Pushes, Seq: x.seq}}
-	if x.out != nil {
+// minimalRecords returns the fewest records from which the state of the notification can be restored.
+func (p *Pending) minimalRecords() []Record {
+	list := []Record{{Kind: Accepted, ID: p.Message.ID, Message: p.Message, Pushes: p.Message.Pushes, Seq: p.seq}}
+	if p.openCall != nil {
 		list[0].Pushes--
-		list = append(list, *x.out)
+		list = append(list, *p.openCall)
 	}
-	if x.Notice != nil {
-		list = append(list, *x.Notice)
+	if p.Notice != nil {
+		list = append(list, *p.Notice)
 	}
 	return list
 }
