--- a/ledger/crash_test.go
+++ b/ledger/crash_test.go
@@ -15,337 +15,339 @@
 	"orchiddrift/ledger"
 )
 
-const small = 200 << 10 // a folder of eight files, so that they are used again and again
+const smallLimit = 200 << 10 // bytes; gives a folder of eight files, so that files are recycled often
 
-// known is what somebody who was told the ledger's answers knows of a notification.
-type known struct {
-	pushes  int
-	ran     bool   // a push may have run
-	out     uint64 // the call that is out
-	notice  string
-	order   int
-	unsure  bool // its last record was being written when the process ended
-	maybe   bool // of its taking nobody was told
-	ending  bool // nor of its end
-	taken   bool
-	deleted bool
+// expectation is the state of a notification according to the results of the writes to the ledger.
+type expectation struct {
+	pushes           int
+	mayHaveRun       bool   // a push may have run
+	openCall         uint64 // number of the call without an end, 0 for none
+	notice           string
+	order            int
+	lastWriteCrashed bool // the process crashed during the last write
+	acceptCrashed    bool // the process crashed during the write of its Accepted record
+	completeCrashed  bool // the process crashed during the write of its Completed record
+	accepted         bool
+	completed        bool
 }
 
-// book plays work on a ledger and keeps what it was told in a plain map.
-type book struct {
-	l      *ledger.Ledger
-	know   map[string]*known
-	chance *rand.Rand
-	next   int
-	ids    []string
-	call   uint64        // the number of the last call
-	ending ledger.Record // the end of a call that was written last
+// harness runs random operations on a ledger and keeps the expected state in a map.
+type harness struct {
+	ledger      *ledger.Ledger
+	expected    map[string]*expectation
+	random      *rand.Rand
+	lastNumber  int
+	pendingIDs  []string
+	lastCall    uint64        // number of the last call
+	lastCallEnd ledger.Record // the last end of a call that was generated
 }
 
-func openBook(f *faulty.Folder, b *book) (*ledger.Report, []ledger.Pending, error) {
-	l, owed, report, err := ledger.Open(f, ledger.Options{Limit: small})
-	if b.l = l; l != nil {
-		b.call = l.LastCallNumber()
+func openLedger(f *faulty.Folder, h *harness) (*ledger.Report, []ledger.Pending, error) {
+	l, pending, report, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+	if h.ledger = l; l != nil {
+		h.lastCall = l.LastCallNumber()
 	}
-	return &report, owed, err
+	return &report, pending, err
 }
 
-// do writes records and notes them once they are told as written.
-func (b *book) do(id string, note func(k *known), records ...ledger.Record) error {
-	k := b.know[id]
-	err := b.l.Write(records...)
+// write writes records and updates the expectation if the write succeeds.
+func (h *harness) write(id string, update func(e *expectation), records ...ledger.Record) error {
+	e := h.expected[id]
+	err := h.ledger.Write(records...)
 	switch {
 	case err == nil:
-		note(k)
+		update(e)
 	case errors.Is(err, faulty.ErrCrashed):
-		k.unsure = true
+		e.lastWriteCrashed = true
 	}
 	return err
 }
 
-// step does one thing that a dispatcher does.
-func (b *book) step() error {
+// step does one random operation of a dispatcher: accept a notification, start or end a call, queue a notice, or complete
+// a notification.
+func (h *harness) step() error {
 	id := ""
-	if len(b.ids) > 0 {
-		id = b.ids[b.chance.IntN(len(b.ids))]
-	}
-	switch what := b.chance.IntN(10); {
-	case id == "" || what < 3 && len(b.ids) < 60:
-		b.next++
-		id = fmt.Sprint("n", b.next)
-		body := b.chance.IntN(300)
-		if b.chance.IntN(8) == 0 {
-			body = 2000 + b.chance.IntN(4000)
+	if len(h.pendingIDs) > 0 {
+		id = h.pendingIDs[h.random.IntN(len(h.pendingIDs))]
+	}
+	switch action := h.random.IntN(10); {
+	case id == "" || action < 3 && len(h.pendingIDs) < 60:
+		h.lastNumber++
+		id = fmt.Sprint("n", h.lastNumber)
+		bodyBytes := h.random.IntN(300)
+		if h.random.IntN(8) == 0 {
+			bodyBytes = 2000 + h.random.IntN(4000)
 		}
-		if !b.l.HasRoom(body) {
+		if !h.ledger.HasRoom(bodyBytes) {
 			return nil
 		}
-		b.know[id] = &known{order: b.next}
-		err := b.do(id, func(k *known) { k.taken = true }, taken(id, body))
+		h.expected[id] = &expectation{order: h.lastNumber}
+		err := h.write(id, func(e *expectation) { e.accepted = true }, accepted(id, bodyBytes))
 		if err == nil {
-			b.ids = append(b.ids, id)
+			h.pendingIDs = append(h.pendingIDs, id)
 		}
-		b.know[id].maybe = !b.know[id].taken && errors.Is(err, faulty.ErrCrashed)
+		h.expected[id].acceptCrashed = !h.expected[id].accepted && errors.Is(err, faulty.ErrCrashed)
 		return err
-	case what < 6:
-		if k := b.know[id]; k.out > 0 {
-			return b.do(id, func(k *known) { k.end(b.ending) }, b.endOf(id, k.out))
+	case action < 6:
+		if e := h.expected[id]; e.openCall > 0 {
+			return h.write(id, func(e *expectation) { e.applyCallEnd(h.lastCallEnd) }, h.randomCallEnd(id, e.openCall))
 		}
-		b.call++
-		return b.do(id, func(k *known) { k.out = b.call; k.pushes++ }, ledger.Record{Kind: ledger.CallStarted, ID: id, StartedAt: 1001, Endpoint: "e1", CallNumber: b.call})
-	case what < 7:
-		return b.do(id, func(k *known) { k.notice = "given_up" }, ledger.Record{Kind: ledger.NoticePending, ID: id, Outcome: "given_up"})
+		h.lastCall++
+		return h.write(id, func(e *expectation) { e.openCall = h.lastCall; e.pushes++ }, ledger.Record{Kind: ledger.CallStarted, ID: id, StartedAt: 1001, Endpoint: "e1", CallNumber: h.lastCall})
+	case action < 7:
+		return h.write(id, func(e *expectation) { e.notice = "given_up" }, ledger.Record{Kind: ledger.NoticePending, ID: id, Outcome: "given_up"})
 	default:
-		b.ids = remove(b.ids, id)
-		k := b.know[id]
-		err := b.do(id, func(k *known) { k.deleted = true }, ledger.Record{Kind: ledger.Completed, ID: id})
-		k.ending = !k.deleted && errors.Is(err, faulty.ErrCrashed)
-		if err != nil && !k.ending {
-			b.ids = append(b.ids, id) // refused: still owed
+		h.pendingIDs = without(h.pendingIDs, id)
+		e := h.expected[id]
+		err := h.write(id, func(e *expectation) { e.completed = true }, ledger.Record{Kind: ledger.Completed, ID: id})
+		e.completeCrashed = !e.completed && errors.Is(err, faulty.ErrCrashed)
+		if err != nil && !e.completeCrashed {
+			h.pendingIDs = append(h.pendingIDs, id) // the write failed: still pending
 		}
 		return err
 	}
 }
 
-// endOf draws how a call ended.
-func (b *book) endOf(id string, call uint64) ledger.Record {
-	b.ending = ledger.Record{Kind: ledger.CallNotRun, ID: id, CallNumber: call, Unsent: b.chance.IntN(3) == 0}
-	if b.chance.IntN(2) == 0 {
-		b.ending = ledger.Record{Kind: ledger.CallMayHaveRun, ID: id, CallNumber: call}
+// randomCallEnd returns a random end of a call.
+func (h *harness) randomCallEnd(id string, call uint64) ledger.Record {
+	h.lastCallEnd = ledger.Record{Kind: ledger.CallNotRun, ID: id, CallNumber: call, Unsent: h.random.IntN(3) == 0}
+	if h.random.IntN(2) == 0 {
+		h.lastCallEnd = ledger.Record{Kind: ledger.CallMayHaveRun, ID: id, CallNumber: call}
 	}
-	return b.ending
+	return h.lastCallEnd
 }
 
-// end notes how the call that was out ended.
-func (k *known) end(r ledger.Record) {
-	k.out, k.ran = 0, k.ran || r.Kind == ledger.CallMayHaveRun
+// applyCallEnd updates the expectation with the end of the open call.
+func (e *expectation) applyCallEnd(r ledger.Record) {
+	e.openCall, e.mayHaveRun = 0, e.mayHaveRun || r.Kind == ledger.CallMayHaveRun
 	if r.Unsent {
-		k.pushes--
+		e.pushes--
 	}
 }
 
-func remove(list []string, id string) []string {
+func without(list []string, id string) []string {
 	var out []string
-	for _, x := range list {
-		if x != id {
-			out = append(out, x)
+	for _, element := range list {
+		if element != id {
+			out = append(out, element)
 		}
 	}
 	return out
 }
 
-// compare tells where what a restart finds differs from what was told.
-func (b *book) compare(owed []ledger.Pending) error {
+// compare returns an error if the state after a restart differs from the expected state.
+func (h *harness) compare(pending []ledger.Pending) error {
 	found := map[string]ledger.Pending{}
-	last := math.MinInt
-	for _, o := range owed {
-		id := o.Message.ID
-		k := b.know[id]
+	lastOrder := math.MinInt
+	for _, p := range pending {
+		id := p.Message.ID
+		e := h.expected[id]
 		switch {
-		case k == nil || !k.taken && !k.maybe:
-			return fmt.Errorf("%s was never taken on", id)
-		case k.deleted:
-			return fmt.Errorf("%s was over", id)
-		case k.order < last:
-			return fmt.Errorf("%s is out of order", id)
+		case e == nil || !e.accepted && !e.acceptCrashed:
+			return fmt.Errorf("%s was restored, but was never accepted", id)
+		case e.completed:
+			return fmt.Errorf("%s was restored, but was completed", id)
+		case e.order < lastOrder:
+			return fmt.Errorf("%s was restored out of order", id)
 		}
-		last, found[id] = k.order, o
+		lastOrder, found[id] = e.order, p
 	}
-	for id, k := range b.know {
-		o, ok := found[id]
+	for id, e := range h.expected {
+		p, ok := found[id]
 		switch {
-		case k.taken && !k.deleted && !k.ending && !ok:
+		case e.accepted && !e.completed && !e.completeCrashed && !ok:
 			return fmt.Errorf("%s is lost", id)
-		case !ok || k.unsure:
-		case o.Message.Pushes != k.pushes:
-			return fmt.Errorf("%s had %d pushes, not %d", id, k.pushes, o.Message.Pushes)
-		case (o.Message.RanAt > 0) != (k.ran || k.out > 0):
-			return fmt.Errorf("%s may have run: %v, but it says %v", id, k.ran || k.out > 0, o.Message.RanAt)
-		case (o.Notice != nil) != (k.notice != ""):
-			return fmt.Errorf("%s has its notice: %v", id, o.Notice != nil)
+		case !ok || e.lastWriteCrashed:
+		case p.Message.Pushes != e.pushes:
+			return fmt.Errorf("%s: want %d pushes, got %d", id, e.pushes, p.Message.Pushes)
+		case (p.Message.RanAt > 0) != (e.mayHaveRun || e.openCall > 0):
+			return fmt.Errorf("%s: want may have run %v, got RanAt %v", id, e.mayHaveRun || e.openCall > 0, p.Message.RanAt)
+		case (p.Notice != nil) != (e.notice != ""):
+			return fmt.Errorf("%s: notice restored: %v", id, p.Notice != nil)
 		}
-		if ok && k.unsure && k.ran && o.Message.RanAt == 0 {
-			return fmt.Errorf("%s may have run, and that is forgotten", id)
+		if ok && e.lastWriteCrashed && e.mayHaveRun && p.Message.RanAt == 0 {
+			return fmt.Errorf("%s may have run, but was restored with RanAt 0", id)
 		}
 	}
 	return nil
 }
 
-// settle takes what a restart found as what is known from there on.
-func (b *book) settle(owed []ledger.Pending) {
-	b.know, b.ids = map[string]*known{}, nil
-	for i, o := range owed {
-		b.ids = append(b.ids, o.Message.ID)
-		b.know[o.Message.ID] = &known{taken: true, order: i + 1 - len(owed), pushes: o.Message.Pushes, ran: o.Message.RanAt > 0}
-		if o.Notice != nil {
-			b.know[o.Message.ID].notice = o.Notice.Outcome
+// reset sets the expected state to the state after a restart.
+func (h *harness) reset(pending []ledger.Pending) {
+	h.expected, h.pendingIDs = map[string]*expectation{}, nil
+	for i, p := range pending {
+		h.pendingIDs = append(h.pendingIDs, p.Message.ID)
+		h.expected[p.Message.ID] = &expectation{accepted: true, order: i + 1 - len(pending), pushes: p.Message.Pushes, mayHaveRun: p.Message.RanAt > 0}
+		if p.Notice != nil {
+			h.expected[p.Message.ID].notice = p.Notice.Outcome
 		}
 	}
 }
 
-// play works until the crash, or for so many steps.
-func play(f *faulty.Folder, steps int, seed uint64) (*book, error) {
-	b := &book{know: map[string]*known{}, chance: rand.New(rand.NewPCG(seed, 1))}
-	if _, _, err := openBook(f, b); err != nil {
-		return b, err
+// runSteps does the given number of steps, or fewer if a step fails.
+func runSteps(f *faulty.Folder, steps int, seed uint64) (*harness, error) {
+	h := &harness{expected: map[string]*expectation{}, random: rand.New(rand.NewPCG(seed, 1))}
+	if _, _, err := openLedger(f, h); err != nil {
+		return h, err
 	}
 	for range steps {
-		if err := b.step(); err != nil {
-			return b, err
+		if err := h.step(); err != nil {
+			return h, err
 		}
 	}
-	return b, nil
+	return h, nil
 }
 
-// A crash at every single write of a long run, of which nothing, a part, or all is there: what was told as taken on is
-// owed, what was told as over is not, in order, and no push that may have run is forgotten. And the same again after it.
+// Crashes the process at each write of a long run, with none, a part or all of that write stored. After a restart, each
+// notification whose write succeeded is restored in order, no completed one is, and no push that may have run is lost. The
+// same holds after more steps and a second restart.
 func TestCrashAtEachWrite(t *testing.T) {
 	const steps = 1500
-	whole := faulty.New()
-	b, err := play(whole, steps, 7)
+	uncrashed := faulty.New()
+	h, err := runSteps(uncrashed, steps, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.l.RewrittenBytes() == 0 {
-		t.Fatal("nothing was written anew: the run is too short to show compaction")
+	if h.ledger.RewrittenBytes() == 0 {
+		t.Fatal("nothing was rewritten: the run is too short to cover compaction")
 	}
-	if whole.UsedBytes() > small {
-		t.Errorf("the files take %d bytes of %d", whole.UsedBytes(), small)
+	if uncrashed.UsedBytes() > smallLimit {
+		t.Errorf("the files take %d bytes, limit %d", uncrashed.UsedBytes(), smallLimit)
 	}
 	crashes := 0
-	for at := 1; at <= whole.Writes; at++ {
+	for crashAt := 1; crashAt <= uncrashed.Writes; crashAt++ {
 		for _, keep := range []int{0, 7, 30, 1 << 20} {
 			f := faulty.New()
-			f.CrashAtWrite, f.CrashKeepBytes = at, keep
-			b, err := play(f, steps, 7)
+			f.CrashAtWrite, f.CrashKeepBytes = crashAt, keep
+			h, err := runSteps(f, steps, 7)
 			if !errors.Is(err, faulty.ErrCrashed) {
-				t.Fatalf("write %d: %v", at, err)
+				t.Fatalf("write %d: %v", crashAt, err)
 			}
 			crashes++
 			next := f.Restart()
-			_, owed, err := openBook(next, b)
+			_, pending, err := openLedger(next, h)
 			if err == nil {
-				err = b.compare(owed)
+				err = h.compare(pending)
 			}
 			if err != nil {
-				t.Fatalf("crash at write %d, %d bytes kept: %v", at, keep, err)
+				t.Fatalf("crash at write %d, %d bytes kept: %v", crashAt, keep, err)
 			}
-			b.settle(owed)
-			b.next += 1000
+			h.reset(pending)
+			h.lastNumber += 1000
 			for range 40 {
-				if err := b.step(); err != nil {
-					t.Fatalf("after the crash at write %d: %v", at, err)
+				if err := h.step(); err != nil {
+					t.Fatalf("after the crash at write %d: %v", crashAt, err)
 				}
 			}
-			if _, owed, err = openBook(next.Restart(), b); err == nil {
-				err = b.compare(owed)
+			if _, pending, err = openLedger(next.Restart(), h); err == nil {
+				err = h.compare(pending)
 			}
 			if err != nil {
-				t.Fatalf("second start after the crash at write %d, %d bytes kept: %v", at, keep, err)
+				t.Fatalf("second restart after the crash at write %d, %d bytes kept: %v", crashAt, keep, err)
 			}
 		}
 	}
-	t.Log(crashes, "crashes at", whole.Writes, "writes")
+	t.Log(crashes, "crashes at", uncrashed.Writes, "writes")
 }
 
-// The disk fills at any moment and then has room again: takings are refused, ends are written all the same, nothing owed
-// is lost, and work goes on without a restart.
+// The disk becomes full and later has space again. Meanwhile new notifications are refused, but ends are still written. No
+// pending notification is lost, and the ledger recovers without a restart.
 func TestFullDisk(t *testing.T) {
-	for _, room := range []int{60 << 10, 90 << 10, 120 << 10, 150 << 10} {
+	for _, capacity := range []int{60 << 10, 90 << 10, 120 << 10, 150 << 10} {
 		f := faulty.New()
-		b, err := play(f, 150, 3)
+		h, err := runSteps(f, 150, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.CapacityBytes = max(room, f.UsedBytes())
-		refused, failed := 0, 0
+		f.CapacityBytes = max(capacity, f.UsedBytes())
+		failedSteps, refusedEnds := 0, 0
 		for i := range 3000 {
-			was := len(b.ids)
-			if err := b.step(); err != nil {
+			pendingBefore := len(h.pendingIDs)
+			if err := h.step(); err != nil {
 				if !errors.Is(err, syscall.ENOSPC) && !errors.Is(err, ledger.ErrFull) {
 					t.Fatal(err)
 				}
-				if refused++; len(b.ids) == was && b.know[fmt.Sprint("n", b.next)].taken {
-					failed++ // an end, not a taking, was refused
+				if failedSteps++; len(h.pendingIDs) == pendingBefore && h.expected[fmt.Sprint("n", h.lastNumber)].accepted {
+					refusedEnds++ // the failed write was not one of an Accepted record
 				}
 			}
 			if i == 2000 {
 				f.CapacityBytes = -1
 			}
 		}
-		if failed > 0 {
-			t.Errorf("room for %d: %d ends were refused", room, failed)
+		if refusedEnds > 0 {
+			t.Errorf("capacity %d: %d writes of ends failed", capacity, refusedEnds)
 		}
-		took := 0
+		acceptedCount := 0
 		for range 200 {
-			n := b.next
-			if err := b.step(); err != nil {
-				t.Fatalf("room again: %v", err)
+			numberBefore := h.lastNumber
+			if err := h.step(); err != nil {
+				t.Fatalf("after the disk had space again: %v", err)
 			}
-			if b.next > n && b.know[fmt.Sprint("n", b.next)].taken {
-				took++
+			if h.lastNumber > numberBefore && h.expected[fmt.Sprint("n", h.lastNumber)].accepted {
+				acceptedCount++
 			}
 		}
-		if took == 0 {
-			t.Errorf("room for %d: nothing is taken on once there is room", room)
+		if acceptedCount == 0 {
+			t.Errorf("capacity %d: nothing was accepted after the disk had space again", capacity)
 		}
-		_, owed, err := openBook(f.Restart(), b)
+		_, pending, err := openLedger(f.Restart(), h)
 		if err == nil {
-			err = b.compare(owed)
+			err = h.compare(pending)
 		}
 		if err != nil {
-			t.Errorf("room for %d: %v", room, err)
+			t.Errorf("capacity %d: %v", capacity, err)
 		}
-		t.Logf("room for %d: %d refused", room, refused)
+		t.Logf("capacity %d: %d steps failed", capacity, failedSteps)
 	}
 }
 
-// Errors of single writes: what is refused does not come back.
-func TestFailingWrites(t *testing.T) {
+// Single writes fail with an error. A notification that was refused because of such an error is not restored by a restart.
+func TestFailedWritesAreNotRestored(t *testing.T) {
 	f := faulty.New()
-	b, err := play(f, 100, 5)
+	h, err := runSteps(f, 100, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := 0
+	failedSteps := 0
 	for i := range 2000 {
 		if f.WriteErr = nil; i%7 == 0 {
 			f.WriteErr = syscall.EIO
 		}
-		if err := b.step(); err != nil {
-			refused++
+		if err := h.step(); err != nil {
+			failedSteps++
 		}
 	}
 	f.WriteErr = nil
-	_, owed, err := openBook(f.Restart(), b)
+	_, pending, err := openLedger(f.Restart(), h)
 	if err == nil {
-		err = b.compare(owed)
+		err = h.compare(pending)
 	}
-	if err != nil || refused == 0 {
-		t.Errorf("%d refused: %v", refused, err)
+	if err != nil || failedSteps == 0 {
+		t.Errorf("%d steps failed: %v", failedSteps, err)
 	}
 }
 
-// Any work with restarts anywhere: the ledger and the map agree.
-func TestAgainstMap(t *testing.T) {
+// Random operations with restarts at random points: the ledger restores the state that the model expects.
+func TestMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := faulty.New()
-		b, err := play(f, rapid.IntRange(1, 400).Draw(t, "steps"), rapid.Uint64().Draw(t, "seed"))
+		h, err := runSteps(f, rapid.IntRange(1, 400).Draw(t, "steps"), rapid.Uint64().Draw(t, "seed"))
 		for range rapid.IntRange(1, 4).Draw(t, "restarts") {
 			if err != nil {
 				t.Fatal(err)
 			}
 			f = f.Restart()
-			_, owed, oerr := openBook(f, b)
-			if oerr == nil {
-				oerr = b.compare(owed)
+			_, pending, openErr := openLedger(f, h)
+			if openErr == nil {
+				openErr = h.compare(pending)
 			}
-			if oerr != nil {
-				t.Fatal(oerr)
+			if openErr != nil {
+				t.Fatal(openErr)
 			}
-			b.settle(owed)
+			h.reset(pending)
 			for range rapid.IntRange(0, 300).Draw(t, "more") {
-				if err = b.step(); err != nil {
+				if err = h.step(); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -353,20 +355,21 @@
 	})
 }
 
-// A damaged middle is told with file and place, what is behind it is kept, and nothing that may have run is repeatable.
+// A record in the middle of a segment is damaged. The report names the file and the range, later records are restored, and
+// the notifications accepted before the damage count as ones that may have run.
 func Example_damage() {
 	f := faulty.New()
-	l, _, _, _ := ledger.Open(f, ledger.Options{Limit: small})
-	for _, r := range []ledger.Record{taken("a", 5), taken("b", 5), {Kind: ledger.CallStarted, ID: "b", StartedAt: 1001, Endpoint: "e1", CallNumber: 1}, taken("c", 5)} {
+	l, _, _, _ := ledger.Open(f, ledger.Options{Limit: smallLimit})
+	for _, r := range []ledger.Record{accepted("a", 5), accepted("b", 5), {Kind: ledger.CallStarted, ID: "b", StartedAt: 1001, Endpoint: "e1", CallNumber: 1}, accepted("c", 5)} {
 		_ = l.Write(r)
 	}
-	text := f.Content("segment-000001")
-	at := strings.Index(string(text), "e1")
-	text[at] ^= 1
-	_, owed, report, err := ledger.Open(f.Restart(), ledger.Options{Limit: small})
+	content := f.Content("segment-000001")
+	offset := strings.Index(string(content), "e1")
+	content[offset] ^= 1
+	_, pending, report, err := ledger.Open(f.Restart(), ledger.Options{Limit: smallLimit})
 	fmt.Println(err, report.Damaged)
-	for _, o := range owed {
-		fmt.Println(o.Message.ID, "may have run:", o.Message.RanAt > 0)
+	for _, p := range pending {
+		fmt.Println(p.Message.ID, "may have run:", p.Message.RanAt > 0)
 	}
 	// Output:
 	// <nil> [{segment-000001 164 32}]
@@ -375,88 +378,89 @@
 	// c may have run: false
 }
 
-// The old single file is taken over whole, with its torn tail dropped; cut short at any write, it is done anew.
-func TestTakeover(t *testing.T) {
-	text := ledger.OldFile(taken("over", 5), taken("out", 900), taken("turned", 9), taken("ended", 0),
-		ledger.Record{Kind: ledger.Completed, ID: "over"}, ledger.Record{Kind: ledger.CallStarted, ID: "out", StartedAt: 1004, Endpoint: "e3"},
-		ledger.Record{Kind: ledger.CallStarted, ID: "turned", StartedAt: 1004, Endpoint: "e3"}, ledger.Record{Kind: ledger.CallNotRun, ID: "turned"},
-		ledger.Record{Kind: ledger.NoticePending, ID: "ended", Outcome: "handed_back", RetryIn: 0.5})
-	start := func() *faulty.Folder {
+// Migrates the legacy file, without the torn record at its end. After a crash at any write, the next start repeats the
+// migration.
+func TestLegacyMigration(t *testing.T) {
+	content := ledger.LegacyFile(accepted("completed", 5), accepted("open", 900), accepted("not-run", 9), accepted("notice", 0),
+		ledger.Record{Kind: ledger.Completed, ID: "completed"}, ledger.Record{Kind: ledger.CallStarted, ID: "open", StartedAt: 1004, Endpoint: "e3"},
+		ledger.Record{Kind: ledger.CallStarted, ID: "not-run", StartedAt: 1004, Endpoint: "e3"}, ledger.Record{Kind: ledger.CallNotRun, ID: "not-run"},
+		ledger.Record{Kind: ledger.NoticePending, ID: "notice", Outcome: "handed_back", RetryIn: 0.5})
+	newFolder := func() *faulty.Folder {
 		f := faulty.New()
-		f.Put("ledger", append(text[:len(text):len(text)], 40, 0, 0, 0, 1, 2))
+		f.Put("ledger", append(content[:len(content):len(content)], 40, 0, 0, 0, 1, 2))
 		return f
 	}
-	// The end of the call that was turned away names no call: it could be of another process, and is not believed.
-	const want = "out 1 1004 false turned 1 1004 false ended 0 0 true "
-	found := func(f *faulty.Folder) string {
-		_, owed, _, err := ledger.Open(f, ledger.Options{Limit: small})
+	// The CallNotRun record has no call number and could be of another process, so it is ignored.
+	const want = "open 1 1004 false not-run 1 1004 false notice 0 0 true "
+	openAndDescribe := func(f *faulty.Folder) string {
+		_, pending, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
 		if err != nil {
 			return err.Error()
 		}
-		s := ""
-		for _, o := range owed {
-			s += fmt.Sprint(o.Message.ID, " ", o.Message.Pushes, " ", o.Message.RanAt, " ", o.Notice != nil, " ")
+		description := ""
+		for _, p := range pending {
+			description += fmt.Sprint(p.Message.ID, " ", p.Message.Pushes, " ", p.Message.RanAt, " ", p.Notice != nil, " ")
 		}
-		return s
+		return description
 	}
-	whole := start()
-	if got := found(whole); got != want {
+	uncrashed := newFolder()
+	if got := openAndDescribe(uncrashed); got != want {
 		t.Fatal(got)
 	}
-	if whole.Content("ledger") != nil {
-		t.Error("the old file is still there")
+	if uncrashed.Content("ledger") != nil {
+		t.Error("the legacy file was not removed")
 	}
-	for at := 1; at <= whole.Writes; at++ {
+	for crashAt := 1; crashAt <= uncrashed.Writes; crashAt++ {
 		for _, keep := range []int{0, 9, 1 << 20} {
-			f := start()
-			f.CrashAtWrite, f.CrashKeepBytes = at, keep
-			_ = found(f)
-			if got := found(f.Restart()); got != want {
-				t.Errorf("crash at write %d, %d kept: %s", at, keep, got)
+			f := newFolder()
+			f.CrashAtWrite, f.CrashKeepBytes = crashAt, keep
+			_ = openAndDescribe(f)
+			if got := openAndDescribe(f.Restart()); got != want {
+				t.Errorf("crash at write %d, %d kept: %s", crashAt, keep, got)
 			}
-			if got := found(f.Restart().Restart()); got != want {
-				t.Errorf("second start after a crash at write %d: %s", at, got)
+			if got := openAndDescribe(f.Restart().Restart()); got != want {
+				t.Errorf("second restart after the crash at write %d: %s", crashAt, got)
 			}
 		}
 	}
 }
 
-// With sync a write is told as done once it is on the disk, one sync for all records in it; where that fails it does not
-// count. Where no file can be made, what is there goes on until takings need more.
-func TestSyncAndMake(t *testing.T) {
+// With Sync, each write is synced once, whatever the number of records, and fails if the sync fails. If files cannot be
+// created, notifications are accepted until the existing files are full, and ends can still be written.
+func TestSyncAndCreateErrors(t *testing.T) {
 	f := faulty.New()
-	l, _, _, err := ledger.Open(f, ledger.Options{Limit: small, Sync: true})
+	l, _, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit, Sync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := f.Syncs
-	if err := l.Write(taken("a", 5), taken("b", 5)); err != nil || f.Syncs == before {
-		t.Fatal(err, f.Syncs-before)
+	syncsBefore := f.Syncs
+	if err := l.Write(accepted("a", 5), accepted("b", 5)); err != nil || f.Syncs == syncsBefore {
+		t.Fatal(err, f.Syncs-syncsBefore)
 	}
-	_ = l.Write(ledger.Record{Kind: ledger.Completed, ID: "nobody"}) // and a file is made for the reserve
-	before = f.Syncs
-	if err := l.Write(ledger.Record{Kind: ledger.CallStarted, ID: "a", StartedAt: 1, Endpoint: "e"}, taken("c", 5)); err != nil || f.Syncs != before+1 {
-		t.Fatal(err, f.Syncs-before)
+	_ = l.Write(ledger.Record{Kind: ledger.Completed, ID: "unknown"}) // also allocates the reserved files
+	syncsBefore = f.Syncs
+	if err := l.Write(ledger.Record{Kind: ledger.CallStarted, ID: "a", StartedAt: 1, Endpoint: "e"}, accepted("c", 5)); err != nil || f.Syncs != syncsBefore+1 {
+		t.Fatal(err, f.Syncs-syncsBefore)
 	}
 	f.SyncErr = syscall.EIO
-	if err := l.Write(taken("d", 5)); !errors.Is(err, syscall.EIO) {
+	if err := l.Write(accepted("d", 5)); !errors.Is(err, syscall.EIO) {
 		t.Fatal(err)
 	}
 	f.SyncErr, f.CreateRemoveErr = nil, syscall.EACCES
-	took := 0
+	acceptedCount := 0
 	for i := 0; i < 1000 && err == nil; i++ {
-		if err = l.Write(taken(fmt.Sprint("n", i), 500)); err == nil {
-			took++
+		if err = l.Write(accepted(fmt.Sprint("n", i), 500)); err == nil {
+			acceptedCount++
 		}
 	}
-	if !errors.Is(err, syscall.EACCES) || took == 0 {
-		t.Fatal(took, err)
+	if !errors.Is(err, syscall.EACCES) || acceptedCount == 0 {
+		t.Fatal(acceptedCount, err)
 	}
 	if err := l.Write(ledger.Record{Kind: ledger.Completed, ID: "b"}); err != nil {
-		t.Fatal("an end was refused:", err)
+		t.Fatal("writing an end failed:", err)
 	}
-	_, owed, _, err := ledger.Open(f.Restart(), ledger.Options{Limit: small})
-	if err != nil || len(owed) != took+2 || owed[0].Message.ID != "a" || owed[1].Message.ID != "c" {
-		t.Fatal(err, len(owed), took)
+	_, pending, _, err := ledger.Open(f.Restart(), ledger.Options{Limit: smallLimit})
+	if err != nil || len(pending) != acceptedCount+2 || pending[0].Message.ID != "a" || pending[1].Message.ID != "c" {
+		t.Fatal(err, len(pending), acceptedCount)
 	}
 }
--- a/ledger/export_test.go
+++ b/ledger/export_test.go
@@ -5,17 +5,17 @@
 	"hash/crc32"
 )
 
-// OldFile writes records as the single file held them before there were segments.
-func OldFile(records ...Record) []byte {
+// LegacyFile returns the content of a legacy file with the given records.
+func LegacyFile(records ...Record) []byte {
 	var b []byte
 	for _, r := range records {
-		body := encode(nil, r)
+		encoded := encode(nil, r)
 		if r.Kind == Accepted {
-			body = body[:len(body)-1] // it had no number of its own, which is 0 here and takes one byte
+			encoded = encoded[:len(encoded)-1] // the legacy format has no Seq, which is 0 here and takes one byte
 		}
-		b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
-		b = binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(body))
-		b = append(b, body...)
+		b = binary.LittleEndian.AppendUint32(b, uint32(len(encoded)))
+		b = binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(encoded))
+		b = append(b, encoded...)
 	}
 	return b
 }
