--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock provides a clock that is not affected by steps of the wall clock, neither within a process nor between
-// successive processes that use the same folder. Each process stores the clock's offset from the time since boot. After a
-// reboot that offset is no longer valid, and the clock starts again from the wall clock.
+// Package clock provides a clock in seconds of real time that ignores steps of the wall clock, both within a process and
+// across successive processes that use the same folder. The folder holds the clock's offset from the time since boot. After
+// a reboot this offset is no longer valid, and the clock starts again from the wall clock.
 package clock
 
 import (
--- a/disk/faulty/faulty.go
+++ b/disk/faulty/faulty.go
@@ -13,7 +13,7 @@
 	"orchiddrift/disk"
 )
 
-// ErrCrashed is returned by every operation after the simulated crash.
+// ErrCrashed is returned by the operation during which the process crashes and by later ones.
 var ErrCrashed = errors.New("crashed")
 
 // Folder is an in-memory folder whose exported fields configure faults and count operations.
@@ -22,7 +22,7 @@
 	WriteErr               error // if set, returned by each write
 	CreateRemoveErr        error // if set, returned by each create and remove
 	SyncErr                error // if set, returned by each file sync
-	FailWritesAfterSyncErr bool  // the first file sync that fails with SyncErr sets WriteErr to it
+	FailWritesAfterSyncErr bool  // once a file sync has failed, all later writes fail with the same error
 	Syncs                  int   // number of file syncs so far
 	CrashAtWrite           int   // number of the write or remove, from 1, at which the process crashes; 0 for never
 	CrashKeepBytes         int   // bytes of that write that are stored nevertheless
@@ -50,10 +50,10 @@
 
 // UsedBytes returns the space that all files take, in whole blocks.
 func (f *Folder) UsedBytes() int {
-	const block = 512
+	const blockBytes = 512
 	sum := 0
 	for _, content := range f.files {
-		sum += (len(content.b) + block - 1) / block * block
+		sum += (len(content.b) + blockBytes - 1) / blockBytes * blockBytes
 	}
 	return sum
 }
--- a/seglog/seglog.go
+++ b/seglog/seglog.go
@@ -188,7 +188,7 @@
 func (l *Log) readRecords(s *segment, maxSeq uint64, report *Report, onRecord func(int, []byte), onDamage func(Damage)) error {
 	b := make([]byte, s.size)
 	if n, err := s.file.ReadAt(b, 0); n < len(b) {
-		return fmt.Errorf("%d bytes of %d: %w", n, len(b), err)
+		return fmt.Errorf("read %d of %d bytes: %w", n, len(b), err)
 	}
 	baseSeq, err := l.readBaseSeq(s)
 	if err != nil {
