--- a/disk/disk.go
+++ b/disk/disk.go
@@ -39,7 +39,7 @@
 const lockFileName = "lock"
 
 // ErrLocked is returned when another process has locked the directory.
-var ErrLocked = errors.New("locked by another process")
+var ErrLocked = errors.New("another process holds it")
 
 // OpenDir opens and locks a directory for exclusive use by this process. The operating system releases the lock when the
 // process exits, even on a crash.
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -135,6 +135,6 @@
 	fmt.Println(err)
 	// Output:
 	// open /nowhere/at/all/lock: no such file or directory
-	// DIR: locked by another process
+	// DIR: another process holds it
 	// <nil>
 }
