--- a/gateway/events.go
+++ b/gateway/events.go
@@ -7,54 +7,54 @@
 	"orchiddrift/push"
 )
 
-// Event is something that happened: Arrived, Unkept, Connected, Ended, ToldLate, Listed, ListLost, Noticed, Leaving or
-// Stopping.
+// Event is an input of Gateway.Step: Arrived, AcceptFailed, Dialed, CallEnded, LateWait, Listed, ListLost,
+// NoticeAnswered, IntakeClosed or PushesStopped.
 type Event interface{ event() }
 
-// Arrived is a message that a client handed in. Reply is called once.
+// Arrived reports a message submitted by a client. Reply is called exactly once.
 type Arrived struct {
 	Message *message.Message
 	Reply   func(Reply)
 }
 
-// AcceptFailed tells that an accepted message could not be written to the ledger: it was not taken on.
+// AcceptFailed reports that a message could not be written to the ledger and so was not accepted.
 type AcceptFailed struct{ ID string }
 
-// Dialed brings the connection that a call waits for, or how that failed.
+// Dialed reports the connection established for a call, or, if Conn is nil, why there is none.
 type Dialed struct {
 	Call *Call
 	Conn *push.Conn
 	End  push.End
 }
 
-// CallEnded brings the answer to a call.
+// CallEnded reports the result of a call.
 type CallEnded struct {
 	Call   *Call
-	Answer push.CallResult
+	Result push.CallResult
 }
 
-// LateWait brings a wait that an endpoint told as its call was given up.
+// LateWait reports a wait that an endpoint told after its call had been given up.
 type LateWait struct {
 	Endpoint directory.Endpoint
 	Wait     float64
 }
 
-// Listed is what discovery told: the whole list, or what changed.
+// Listed is an update of the endpoint list: the full list, or the entries that changed.
 type Listed struct {
 	Full      bool
 	Endpoints []directory.Endpoint
 }
 
-// ListLost tells that the list could not be had.
+// ListLost reports that the endpoint list could not be fetched.
 type ListLost struct{}
 
-// NoticeAnswered tells that the platform has answered a notice.
+// NoticeAnswered reports that the platform has answered the notice for a message.
 type NoticeAnswered struct{ ID string }
 
-// IntakeClosed tells that the process is to end and no client comes any more.
+// IntakeClosed reports that the process is shutting down and clients can no longer connect.
 type IntakeClosed struct{}
 
-// PushesStopped tells that no push may start any more: it could not end in time.
+// PushesStopped reports that no push may start any more, because it could not end before the process does.
 type PushesStopped struct{}
 
 func (Arrived) event()        {}
@@ -68,82 +68,82 @@
 func (IntakeClosed) event()   {}
 func (PushesStopped) event()  {}
 
-// Reply is what a client is told.
+// Reply is the answer to the client that submitted a message.
 type Reply struct {
 	Accepted bool
-	RetryIn  float64 // seconds, when not taken
-	Reason   Refusal // when not taken
+	RetryIn  float64 // seconds, if refused
+	Reason   Refusal // if refused
 }
 
-// Refusal is why a message was not taken on.
+// Refusal is the reason why a message was not accepted.
 type Refusal string
 
-// The refusals.
+// Reasons for a refusal.
 const (
-	LedgerFull   Refusal = "ledger full"   // the folder has no room for it
-	LedgerFailed Refusal = "ledger failed" // it could not be written there
-	ShuttingDown Refusal = "stopping"      // a planned stop is on
-	NotPlaceable Refusal = "not placeable" // the decision module has no room or no destination for it
+	LedgerFull   Refusal = "ledger full"   // the ledger's folder has no room for the message
+	LedgerFailed Refusal = "ledger failed" // the message could not be written to the ledger
+	ShuttingDown Refusal = "stopping"      // the process is shutting down
+	NotPlaceable Refusal = "not placeable" // the scheduler has no room for the message or does not know its destination
 )
 
-// Effect is something to be done: Accept, Answer, Keep, Dial, Begin, Shut, Notify, Watch or Fetch. Effects are
-// carried out one after another, in order.
+// Effect is an output of Gateway: Accept, Answer, WriteRecords, Dial, SendCall, CloseConn, Notify, Watch or Fetch. Effects
+// are carried out in order.
 type Effect interface{ effect() }
 
-// Accept writes a message to the ledger and tells its client that it is taken on; Unkept follows if it can't.
+// Accept writes a message to the ledger and then confirms it to the client. If the write fails, AcceptFailed follows.
 type Accept struct {
 	Message *message.Message
 	Reply   func(Reply)
 }
 
-// Answer tells a client what became of its message. One that is taken on already is told so only if the ledger has it:
-// the same message may have come twice before its record was written.
+// Answer replies to a client. Accepted is confirmed only if the ledger has the message: a duplicate may arrive before the
+// record of the first one is written.
 type Answer struct {
-	ID string
-	To func(Reply)
+	ID      string
+	Respond func(Reply)
 	Reply
 }
 
-// WriteRecords writes to the ledger.
+// WriteRecords writes records to the ledger.
 type WriteRecords struct{ Records []ledger.Record }
 
-// Dial opens a connection for a call; Connected follows.
+// Dial establishes a connection for a call; Dialed follows. Timeout is in seconds.
 type Dial struct {
 	Call    *Call
 	Timeout float64
 }
 
-// SendCall writes to the ledger that a call's pushes start, then sends it; Ended follows.
+// SendCall records the start of a call's pushes in the ledger and then sends the call; CallEnded follows.
 type SendCall struct {
 	Call    *Call
 	Records []ledger.Record
-	Repeats []Repeat // of the messages in it, those whose earlier calls may have run
+	Repeats []Repeat // messages in the call with an earlier push that may have run
 }
 
-// Repeat is a message that is called again, for the log.
+// Repeat describes, for the log, a message with an earlier push that may have run.
 type Repeat struct {
 	ID         string
-	SinceFirst float64 // seconds since the first call that may have run
-	Group      string  // within which the first call is known: all endpoints of the destination, or those of its zone
-	Zone       string  // and that zone
+	SinceFirst float64 // seconds since the first push that may have run
+	Group      string  // scope in which that push is known: "all" endpoints of the destination, or those of one "zone"
+	Zone       string  // zone of the first push that may have run
 }
 
 // CloseConn closes a connection.
 type CloseConn struct{ Conn *push.Conn }
 
-// Notify sends a notice to the platform until it is answered; Noticed follows.
+// Notify sends a notice to the platform until it is answered; NoticeAnswered follows.
 type Notify struct {
 	ID           string
 	Outcome      string
 	RetryIn      float64
-	Dest         string  // for the log: where the message was to go
-	RemainingTTL float64 // for the log: seconds of its TTL still left; much left and no push means no room
+	Dest         string  // for the log: destination of the message
+	RemainingTTL float64 // for the log: seconds left of its TTL; much time left and no push means that there was no room for it
 }
 
-// Watch follows the list; Listed and ListLost follow.
+// Watch follows the endpoint list; Listed and ListLost follow.
 type Watch struct{}
 
-// Fetch asks once for the whole list; Listed or ListLost follows.
+// Fetch requests the full endpoint list once; Listed or ListLost follows.
 type Fetch struct{}
 
 func (Accept) effect()       {}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway is the one place where a dispatcher's state changes. Step takes an event, asks the decision
-// module, and returns the effects to carry out; Turns lets all go whose turn has come. Neither reads nor writes.
+// Package gateway holds a dispatcher's state machine. Gateway.Step applies an event, asks the scheduler for a decision
+// and returns the effects to carry out; Gateway.PlaceDue starts what is due. Both are free of I/O, which is done by
+// Runner. Points in time and durations are in seconds of the dispatcher's clock unless stated otherwise.
 package gateway
 
 import (
@@ -15,220 +16,225 @@
 	"orchiddrift/push"
 )
 
-// The outcomes that a notice can tell.
+// Outcomes reported in a notice.
 const (
 	GivenUp    = "given_up"
 	HandedBack = "handed_back"
 )
 
-// Gateway holds what is in hand.
+// Gateway holds the accepted messages that are not settled yet, and the calls and connections that serve them. A message is
+// settled once it was delivered or its notice was answered. A Gateway is not safe for concurrent use.
 type Gateway struct {
-	module   *decide.Scheduler
-	dir      *directory.Directory
-	room     func(body int) bool     // the ledger has room for a message
-	apart    map[string]bool         // by kind: endpoints are routes apart
-	batch    map[string]int          // by kind: messages that may share a call
-	dial     float64                 // a connection is waited for so long at most
-	hand     map[string]*item        // by message
-	idle     map[string][]*push.Conn // by endpoint, the latest used last
-	waits    map[throttled]float64   // when each last told a wait
-	past     map[string]float64      // messages that are over, until their TTL ends
-	forming  []*Call                 // the calls of this turn
-	overfull []*Call                 // and what they had no room for
-	calls    uint64                  // the number of the call that was about to be sent last
-	leaving  bool
-	stopped  bool
-	await    float64 // no push starts before discovery's first word, or this
-	paused   float64 // nor before this, whatever is told
-	// What is read until waitedUntil, as a stall has ended, may have waited so long in its socket.
-	waited, waitedUntil float64
-	effects             []Effect
-	checks              *invariant.SendChecker // nil for none
+	scheduler      *decide.Scheduler
+	directory      *directory.Directory
+	hasRoom        func(body int) bool        // whether the ledger has room for a message with a body of that many bytes
+	separateRoutes map[string]bool            // by kind: whether each endpoint is a route of its own
+	batchSize      map[string]int             // by kind: the maximum number of messages in a call
+	dialTimeout    float64                    // maximum time to establish a connection
+	pending        map[string]*pendingMessage // by message ID
+	idleConns      map[string][]*push.Conn    // by endpoint ID, most recently used last
+	lastToldWait   map[throttleKey]float64    // time at which a wait was last told
+	settled        map[string]float64         // by ID of a settled message: end of its TTL
+	formingCalls   []*Call                    // calls of the current round
+	overflowCalls  []*Call                    // calls for messages whose bodies did not fit into formingCalls
+	lastCallID     uint64                     // number of the latest call prepared for sending
+	intakeClosed   bool
+	pushesStopped  bool
+	listWaitUntil  float64 // no push starts before the first response of discovery or this time
+	pausedUntil    float64 // no push starts before this time
+	// Requests read until socketDelayUntil, shortly after a stall, may have waited for socketDelay in their sockets.
+	socketDelay, socketDelayUntil float64
+	effects                       []Effect
+	checker                       *invariant.SendChecker // nil if sends are not checked
 }
 
-// item is a message in hand.
-type item struct {
-	message *message.Message
-	call    *Call
-	ending  bool            // its notice is out
-	start   float64         // its push may start until then
-	first   decide.FirstRun // its first push that may have run, as its present one was placed
+// pendingMessage is an accepted message that is not settled yet.
+type pendingMessage struct {
+	message       *message.Message
+	call          *Call
+	noticePending bool            // its notice has not been answered
+	startBy       float64         // latest time at which its push may start
+	firstRun      decide.FirstRun // its first push that may have run, as of the latest placement
 }
 
-// New returns a gateway with nothing in hand.
-func New(module *decide.Scheduler, dir *directory.Directory, room func(int) bool, apart map[string]bool, batch map[string]int,
-	dial float64) *Gateway {
-	return &Gateway{module: module, dir: dir, room: room, apart: apart, batch: batch, dial: dial, hand: map[string]*item{},
-		idle: map[string][]*push.Conn{}, waits: map[throttled]float64{}, past: map[string]float64{}}
+// New returns a Gateway without messages. hasRoom reports whether the ledger has room for a message with a body of that
+// many bytes. By kind of endpoint, separateRoutes says whether each endpoint is a route of its own, and batchSize how
+// many messages may share a call. dialTimeout limits the time to establish a connection.
+func New(scheduler *decide.Scheduler, dir *directory.Directory, hasRoom func(int) bool, separateRoutes map[string]bool,
+	batchSize map[string]int, dialTimeout float64) *Gateway {
+	return &Gateway{scheduler: scheduler, directory: dir, hasRoom: hasRoom, separateRoutes: separateRoutes, batchSize: batchSize,
+		dialTimeout: dialTimeout, pending: map[string]*pendingMessage{}, idleConns: map[string][]*push.Conn{},
+		lastToldWait: map[throttleKey]float64{}, settled: map[string]float64{}}
 }
 
-// SetSendChecker lets each call be checked as it is sent, by what is told in Step.
-func (g *Gateway) SetSendChecker(checks *invariant.SendChecker) { g.checks = checks }
+// SetSendChecker sets the checker that verifies each send. It is informed of the events that Step applies.
+func (g *Gateway) SetSendChecker(checker *invariant.SendChecker) { g.checker = checker }
 
-// AdvanceCallID lets calls have numbers above one: none that the ledger may have of an earlier call.
-func (g *Gateway) AdvanceCallID(above uint64) { g.calls = max(g.calls, above) }
+// AdvanceCallID makes the numbers of later calls greater than last, so that no number in the ledger is used again.
+func (g *Gateway) AdvanceCallID(last uint64) { g.lastCallID = max(g.lastCallID, last) }
 
-// AwaitFirstList lets no push start before discovery's first word, or that time: the list known at the start may be old, and what
-// discovery has counts as told from the first moment on. It does harm where discovery is down, by that time.
-func (g *Gateway) AwaitFirstList(until float64) { g.await = until }
+// AwaitFirstList holds back all pushes until the first response or failure of discovery, or until the given time. The list
+// known at startup may be outdated, and a change counts as known to the dispatcher from the moment discovery has it. While
+// discovery is down, pushes may be delayed until the given time.
+func (g *Gateway) AwaitFirstList(until float64) { g.listWaitUntil = until }
 
-// PausePushes lets no push start before a moment.
-func (g *Gateway) PausePushes(until float64) { g.paused = max(g.paused, until) }
+// PausePushes holds back all pushes until the given time.
+func (g *Gateway) PausePushes(until float64) { g.pausedUntil = max(g.pausedUntil, until) }
 
-// clientWaits is how long, in seconds, a client waits for the answer to its request, as the platform has it.
-const clientWaits = 0.4
+// clientTimeout is the time, in seconds, that a client waits for the answer to its request, as specified by the platform.
+const clientTimeout = 0.4
 
-// ResumeAfterStall tells that the process goes on after a stall of so many seconds. No push starts until what was told meanwhile is read.
-// Requests that are read by then may have waited in their sockets for as long as their clients wait, and their time is
-// counted from there. It does harm to those that came just now: they have so much less.
+// ResumeAfterStall records that the process continues after a stall of the given length. No push starts until the news
+// that arrived during the stall has been read. Requests read until then may have waited in their sockets for up to
+// clientTimeout, so that much is taken off their TTL. Requests that have only just arrived lose that time as well.
 func (g *Gateway) ResumeAfterStall(now, stall float64) {
-	g.PausePushes(now + afterStall)
-	g.waited, g.waitedUntil = min(stall, clientWaits), now+afterStall
+	g.PausePushes(now + pauseAfterStall)
+	g.socketDelay, g.socketDelayUntil = min(stall, clientTimeout), now+pauseAfterStall
 }
 
-// quiet is until when no push starts.
-func (g *Gateway) quiet() float64 { return max(g.await, g.paused) }
+// noPushBefore returns the time until which no push may start.
+func (g *Gateway) noPushBefore() float64 { return max(g.listWaitUntil, g.pausedUntil) }
 
-// Restore takes back, in the order they were taken, the messages owed since before a restart.
-func (g *Gateway) Restore(now float64, owed []ledger.Pending) []Effect {
-	g.module.HandleRestart(now)
-	for _, o := range owed {
-		m := o.Message
-		m.TimeLeft, m.Restored, m.NoticePending = m.ExpiresAt-now, true, o.Notice != nil
-		m.LastPushFailed = o.LastCall.End == ledger.EndMayHaveRun
-		g.hand[m.ID] = &item{message: m, ending: m.NoticePending}
-		g.taken(m)
-		g.answer(now, g.module.Place(now, m.Notification))
-		if n := o.Notice; n != nil {
-			g.do(Notify{ID: n.ID, Outcome: n.Outcome, RetryIn: n.RetryIn, Dest: m.Dest, RemainingTTL: m.TimeLeft})
+// Restore takes over, in the order of their acceptance, the messages that the ledger still holds after a restart.
+func (g *Gateway) Restore(now float64, restored []ledger.Pending) []Effect {
+	g.scheduler.HandleRestart(now)
+	for _, r := range restored {
+		m := r.Message
+		m.TimeLeft, m.Restored, m.NoticePending = m.ExpiresAt-now, true, r.Notice != nil
+		m.LastPushFailed = r.LastCall.End == ledger.EndMayHaveRun
+		g.pending[m.ID] = &pendingMessage{message: m, noticePending: m.NoticePending}
+		g.registerWithChecker(m)
+		g.execute(now, g.scheduler.Place(now, m.Notification))
+		if n := r.Notice; n != nil {
+			g.emit(Notify{ID: n.ID, Outcome: n.Outcome, RetryIn: n.RetryIn, Dest: m.Dest, RemainingTTL: m.TimeLeft})
 		}
 	}
-	return g.done()
+	return g.takeEffects()
 }
 
-// Pending tells how many messages are in hand.
-func (g *Gateway) Pending() int { return len(g.hand) }
+// Pending returns the number of accepted messages that are not settled yet.
+func (g *Gateway) Pending() int { return len(g.pending) }
 
-// Finished tells that the process can end now: the ledger keeps the rest.
+// Finished reports whether the process may exit. Messages that are still pending stay in the ledger.
 func (g *Gateway) Finished() bool {
-	for _, it := range g.hand {
-		if !g.stopped || it.call != nil || it.ending {
+	for _, p := range g.pending {
+		if !g.pushesStopped || p.call != nil || p.noticePending {
 			return false
 		}
 	}
-	return g.leaving
+	return g.intakeClosed
 }
 
-// Step takes in an event.
+// Step applies an event and returns the effects to carry out.
 func (g *Gateway) Step(now float64, e Event) []Effect {
 	switch e := e.(type) {
 	case Arrived:
-		g.arrived(now, e)
+		g.handleArrived(now, e)
 	case AcceptFailed:
-		g.over(now, e.ID)
-		delete(g.past, e.ID) // nobody has it: it may come again
+		g.settle(now, e.ID)
+		delete(g.settled, e.ID) // the message was never accepted: its ID may be used again
 	case Dialed:
-		g.connected(now, e)
+		g.handleDialed(now, e)
 	case CallEnded:
-		g.ended(now, e.Call, e.Answer)
+		g.handleCallEnded(now, e.Call, e.Result)
 	case LateWait:
-		g.told(now, e.Endpoint, e.Wait)
+		g.handleToldWait(now, e.Endpoint, e.Wait)
 	case Listed:
-		g.heard()
-		g.listed(now, e)
+		g.endListWait()
+		g.handleListed(now, e)
 	case ListLost:
-		g.heard()
-		g.dir.RecordFailure()
-		g.forget(now)
+		g.endListWait()
+		g.directory.RecordFailure()
+		g.prune(now)
 	case NoticeAnswered:
-		g.do(WriteRecords{[]ledger.Record{{Kind: ledger.Completed, ID: e.ID}}})
-		g.over(now, e.ID)
+		g.emit(WriteRecords{[]ledger.Record{{Kind: ledger.Completed, ID: e.ID}}})
+		g.settle(now, e.ID)
 	case IntakeClosed:
-		g.leaving = true
+		g.intakeClosed = true
 	case PushesStopped:
-		g.stopped = true
+		g.pushesStopped = true
 	}
-	return g.done()
+	return g.takeEffects()
 }
 
-// heard ends the wait for discovery's first word.
-func (g *Gateway) heard() {
-	g.await = 0
-	g.checks.ListWaitEnded()
+// endListWait allows pushes once discovery has responded or failed.
+func (g *Gateway) endListWait() {
+	g.listWaitUntil = 0
+	g.checker.ListWaitEnded()
 }
 
-// listed takes in news of the list.
-func (g *Gateway) listed(now float64, e Listed) {
+// handleListed applies an update of the endpoint list.
+func (g *Gateway) handleListed(now float64, e Listed) {
 	if e.Full {
-		g.dir.Replace(e.Endpoints)
+		g.directory.Replace(e.Endpoints)
 	} else {
-		g.dir.Apply(e.Endpoints)
+		g.directory.Apply(e.Endpoints)
 	}
-	for _, x := range e.Endpoints {
-		g.checks.EndpointListed(now, x.ID, x.Stage == directory.Ready)
+	for _, endpoint := range e.Endpoints {
+		g.checker.EndpointListed(now, endpoint.ID, endpoint.Stage == directory.Ready)
 	}
-	g.forget(now)
+	g.prune(now)
 }
 
-// PlaceDue asks the module whose turn it is until it is nobody's, and gives the seconds until it is to be asked
-// again. What goes to one endpoint in one turn shares calls, where its kind allows that.
+// PlaceDue places messages until none is due, and returns the effects and the time, in seconds, until it has to be called
+// again. Messages for one endpoint that are placed in one round share calls where the endpoint's kind allows it.
 func (g *Gateway) PlaceDue(now float64) ([]Effect, float64) {
-	if g.stopped {
+	if g.pushesStopped {
 		return nil, math.Inf(1)
 	}
 	for {
-		wait, id := g.module.NextTurn(now)
-		if id != "" && g.quiet() > now {
-			if id = g.module.Undeliverable(now); id == "" {
-				return g.done(), g.quiet() - now
+		wait, id := g.scheduler.NextTurn(now)
+		if id != "" && g.noPushBefore() > now {
+			if id = g.scheduler.Undeliverable(now); id == "" {
+				return g.takeEffects(), g.noPushBefore() - now
 			}
 		}
 		if wait > 0 {
-			if g.start(now) {
+			if g.startCalls(now) {
 				wait = 0
 			}
-			return g.done(), wait
+			return g.takeEffects(), wait
 		}
-		ntf := decide.Notification{}
-		if it := g.hand[id]; it != nil {
-			ntf = it.message.Notification
+		notification := decide.Notification{}
+		if p := g.pending[id]; p != nil {
+			notification = p.message.Notification
 		}
-		g.answer(now, g.module.Place(now, ntf))
+		g.execute(now, g.scheduler.Place(now, notification))
 	}
 }
 
-// arrived takes a message on, or refuses it.
-func (g *Gateway) arrived(now float64, e Arrived) {
+// handleArrived accepts or refuses a message.
+func (g *Gateway) handleArrived(now float64, e Arrived) {
 	m := e.Message
-	if _, past := g.past[m.ID]; past || g.hand[m.ID] != nil { // handed in again though we have it, or had
-		g.do(Answer{m.ID, e.Reply, Reply{Accepted: true}})
+	if _, settled := g.settled[m.ID]; settled || g.pending[m.ID] != nil { // a duplicate of a pending or settled message
+		g.emit(Answer{m.ID, e.Reply, Reply{Accepted: true}})
 		return
 	}
-	if g.stopped {
-		g.do(Answer{m.ID, e.Reply, Reply{Reason: ShuttingDown}})
+	if g.pushesStopped {
+		g.emit(Answer{m.ID, e.Reply, Reply{Reason: ShuttingDown}})
 		return
 	}
-	if !g.room(len(m.Body)) {
-		g.do(Answer{m.ID, e.Reply, Reply{Reason: LedgerFull}})
+	if !g.hasRoom(len(m.Body)) {
+		g.emit(Answer{m.ID, e.Reply, Reply{Reason: LedgerFull}})
 		return
 	}
-	if now <= g.waitedUntil {
-		m.ExpiresAt -= g.waited
+	if now <= g.socketDelayUntil {
+		m.ExpiresAt -= g.socketDelay
 	}
 	m.TimeLeft = m.ExpiresAt - now
-	a := g.module.Place(now, m.Notification)
-	if a.Action == decide.Throttle {
-		g.do(Answer{m.ID, e.Reply, Reply{RetryIn: a.RetryIn, Reason: NotPlaceable}})
+	d := g.scheduler.Place(now, m.Notification)
+	if d.Action == decide.Throttle {
+		g.emit(Answer{m.ID, e.Reply, Reply{RetryIn: d.RetryIn, Reason: NotPlaceable}})
 		return
 	}
-	g.hand[m.ID] = &item{message: m}
-	g.taken(m)
-	g.do(Accept{m, e.Reply})
+	g.pending[m.ID] = &pendingMessage{message: m}
+	g.registerWithChecker(m)
+	g.emit(Accept{m, e.Reply})
 }
 
-// taken tells the checks of a message that is in hand from now on.
-func (g *Gateway) taken(m *message.Message) {
-	topic := g.module.Topic(m.Topic)
+// registerWithChecker informs the checker of a message that is pending from now on.
+func (g *Gateway) registerWithChecker(m *message.Message) {
+	topic := g.scheduler.Topic(m.Topic)
 	rules := invariant.Rules{Deadline: m.ExpiresAt, MayHaveRunSince: m.RanAt, OnceOnly: topic.Repeat == decide.OnceOnly}
 	if topic.Repeat == decide.Collapsible {
 		rules.Window = topic.DedupWindow
@@ -236,83 +242,83 @@
 	if topic.Ordered {
 		rules.Key = m.Key
 	}
-	g.checks.Accepted(m.ID, rules)
+	g.checker.Accepted(m.ID, rules)
 }
 
-// answer carries out one answer of the module.
-func (g *Gateway) answer(now float64, a decide.Decision) {
-	switch a.Action {
+// execute carries out a decision of the scheduler.
+func (g *Gateway) execute(now float64, d decide.Decision) {
+	switch d.Action {
 	case decide.Push:
-		g.join(now, a)
+		g.addToCall(now, d)
 	case decide.Throttle:
-		g.notify(now, Notify{ID: a.NotificationID, Outcome: HandedBack, RetryIn: a.RetryIn})
+		g.notify(now, Notify{ID: d.NotificationID, Outcome: HandedBack, RetryIn: d.RetryIn})
 	case decide.Expire:
-		g.notify(now, Notify{ID: a.NotificationID, Outcome: GivenUp})
+		g.notify(now, Notify{ID: d.NotificationID, Outcome: GivenUp})
 	case decide.CancelPush:
-		if it := g.hand[a.NotificationID]; it != nil && it.call != nil && it.call.Conn != nil {
-			g.do(CloseConn{it.call.Conn})
+		if p := g.pending[d.NotificationID]; p != nil && p.call != nil && p.call.Conn != nil {
+			g.emit(CloseConn{p.call.Conn})
 		}
 	case decide.WatchList:
-		g.do(Watch{})
+		g.emit(Watch{})
 	case decide.FetchList:
-		g.do(Fetch{})
+		g.emit(Fetch{})
 	case decide.CloseIdle:
-		for _, c := range g.idle[a.Endpoint] {
-			g.do(CloseConn{c})
+		for _, c := range g.idleConns[d.Endpoint] {
+			g.emit(CloseConn{c})
 		}
-		delete(g.idle, a.Endpoint)
+		delete(g.idleConns, d.Endpoint)
 	}
 }
 
-// notify ends a message by a notice: the ledger has it before the platform.
+// notify ends a message with a notice. The ledger has its record before the platform gets the notice.
 func (g *Gateway) notify(now float64, n Notify) {
-	it := g.hand[n.ID]
-	it.ending = true
-	n.Dest, n.RemainingTTL = it.message.Dest, it.message.ExpiresAt-now
-	g.checks.Finished(n.ID)
-	g.do(WriteRecords{[]ledger.Record{{Kind: ledger.NoticePending, ID: n.ID, Outcome: n.Outcome, RetryIn: n.RetryIn}}})
-	g.do(n)
+	p := g.pending[n.ID]
+	p.noticePending = true
+	n.Dest, n.RemainingTTL = p.message.Dest, p.message.ExpiresAt-now
+	g.checker.Finished(n.ID)
+	g.emit(WriteRecords{[]ledger.Record{{Kind: ledger.NoticePending, ID: n.ID, Outcome: n.Outcome, RetryIn: n.RetryIn}}})
+	g.emit(n)
 }
 
-// forget lets go, at each news of the list, of what belongs to none any more: idle connections to endpoints that are
-// gone, when destinations no longer known last told a wait, and messages whose TTL has ended since they were over.
-func (g *Gateway) forget(now float64) {
-	g.checks.Prune(now, g.dir.Contains)
-	maps.DeleteFunc(g.past, func(_ string, until float64) bool { return until < now })
-	for _, id := range slices.Sorted(maps.Keys(g.idle)) {
-		if len(g.idle[id]) > 0 && g.dir.Contains(id) {
+// prune removes state that an update of the list has made obsolete: idle connections to endpoints that are gone, told
+// waits of destinations or routes that are no longer listed, and settled messages whose TTL has ended.
+func (g *Gateway) prune(now float64) {
+	g.checker.Prune(now, g.directory.Contains)
+	maps.DeleteFunc(g.settled, func(_ string, until float64) bool { return until < now })
+	for _, id := range slices.Sorted(maps.Keys(g.idleConns)) {
+		if len(g.idleConns[id]) > 0 && g.directory.Contains(id) {
 			continue
 		}
-		for _, c := range g.idle[id] {
-			g.do(CloseConn{c})
+		for _, c := range g.idleConns[id] {
+			g.emit(CloseConn{c})
 		}
-		delete(g.idle, id)
+		delete(g.idleConns, id)
 	}
-	maps.DeleteFunc(g.waits, func(t throttled, _ float64) bool {
-		return !g.dir.KnownDest(t.dest) || t.route != "" && !g.dir.Contains(t.route)
+	maps.DeleteFunc(g.lastToldWait, func(t throttleKey, _ float64) bool {
+		return !g.directory.KnownDest(t.dest) || t.route != "" && !g.directory.Contains(t.route)
 	})
 }
 
-// drop lets go of a message that is over. Its id is remembered while it could still come again: another client may
-// use it, and what has run must not run twice.
-func (g *Gateway) drop(id string) {
-	if it := g.hand[id]; it != nil {
-		g.past[id] = it.message.ExpiresAt
+// remove removes a settled message. Its ID is kept until its TTL ends, so that a message that is submitted again,
+// perhaps by another client, is not pushed a second time.
+func (g *Gateway) remove(id string) {
+	if p := g.pending[id]; p != nil {
+		g.settled[id] = p.message.ExpiresAt
 	}
-	g.checks.Finished(id)
-	delete(g.hand, id)
+	g.checker.Finished(id)
+	delete(g.pending, id)
 }
 
-// over lets go of a message that needs nothing more but to be told of.
-func (g *Gateway) over(now float64, id string) {
-	g.answer(now, g.module.HandleOutcome(now, decide.Outcome{NotificationID: id, Result: decide.Withdrawn, Final: true}))
-	g.drop(id)
+// settle removes a message that needs nothing further, and reports it to the scheduler as settled.
+func (g *Gateway) settle(now float64, id string) {
+	g.execute(now, g.scheduler.HandleOutcome(now, decide.Outcome{NotificationID: id, Result: decide.Withdrawn, Final: true}))
+	g.remove(id)
 }
 
-func (g *Gateway) do(e Effect) { g.effects = append(g.effects, e) }
+func (g *Gateway) emit(e Effect) { g.effects = append(g.effects, e) }
 
-func (g *Gateway) done() []Effect {
-	list := g.effects
+func (g *Gateway) takeEffects() []Effect {
+	effects := g.effects
 	g.effects = nil
-	return list
+	return effects
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -81,7 +81,7 @@
 }
 
 func (b *bench) end(id string, a push.CallResult) {
-	b.step(gateway.CallEnded{Call: b.calls[id], Answer: a})
+	b.step(gateway.CallEnded{Call: b.calls[id], Result: a})
 }
 
 func (b *bench) say(format string, args ...any) {
@@ -198,7 +198,7 @@
 	b.at(0)
 	b.open("A1")
 	b.now += 0.5
-	for _, e := range b.g.Step(b.now, gateway.CallEnded{Call: b.calls["A1"], Answer: push.UniformResult(1, push.ConnectionLost)}) {
+	for _, e := range b.g.Step(b.now, gateway.CallEnded{Call: b.calls["A1"], Result: push.UniformResult(1, push.ConnectionLost)}) {
 		if n, ok := e.(gateway.Notify); ok {
 			fmt.Printf("%s %s, to %s with %.1f s left\n", n.ID, n.Outcome, n.Dest, n.RemainingTTL)
 		}
--- a/gateway/late_test.go
+++ b/gateway/late_test.go
@@ -105,7 +105,7 @@
 	start := time.Now()
 	r := runner(book, func() float64 { return 1000 + time.Since(start).Seconds() }, ln.Addr().String())
 	heard := make(chan time.Time, 1)
-	r.Log = zerolog.New(lineWith{"wait told late", heard})
+	r.Log = zerolog.New(lineWith{"endpoint told a wait after its call was given up", heard})
 	stop, ended := make(chan struct{}), make(chan bool)
 	go func() { r.Run(stop); close(ended) }()
 	r.Post(gateway.Arrived{Message: reading(1000.3), Reply: func(gateway.Reply) {}})
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -8,27 +8,30 @@
 	"orchiddrift/push"
 )
 
-// trace follows messages by their ids through their pushes, delivered ones too, where the log's level asks for it.
-func (r *Runner) trace(c *Call, text string, a push.CallResult) {
+// traceCall logs a debug line for each message of a call, delivered ones included, so that a message can be followed by
+// its ID.
+func (r *Runner) traceCall(c *Call, msg string, result push.CallResult) {
 	if r.Log.GetLevel() > zerolog.DebugLevel {
 		return
 	}
 	for i, m := range c.Messages {
-		line := about(r.Log.Debug(), c, m, a).Float64("since_placed", r.Clock()-c.placed).Float64("call_left", c.until-r.Clock())
-		if len(a.Ends) > 0 {
-			line = line.Stringer("end", a.Ends[i])
+		line := withCallFields(r.Log.Debug(), c, m, result).Float64("since_placed", r.Clock()-c.placedAt).
+			Float64("call_left", c.waitUntil-r.Clock())
+		if len(result.Ends) > 0 {
+			line = line.Stringer("end", result.Ends[i])
 		}
-		if len(a.RawPrefix) > 0 {
-			line = line.Bytes("raw", a.RawPrefix)
+		if len(result.RawPrefix) > 0 {
+			line = line.Bytes("raw", result.RawPrefix)
 		}
-		line.Msg(text)
+		line.Msg(msg)
 	}
 }
 
-// about starts a line on a message's push: which, where to, and what the endpoint reported of its limit.
-func about(line *zerolog.Event, c *Call, m *message.Message, a push.CallResult) *zerolog.Event {
-	if a.HasLoadReport {
-		line = line.Float64("share", a.LoadShare).Float64("limit", a.LoadLimit)
+// withCallFields adds the fields of a message's push to a log line: message, call, endpoint, and the limit that the endpoint
+// reported.
+func withCallFields(line *zerolog.Event, c *Call, m *message.Message, result push.CallResult) *zerolog.Event {
+	if result.HasLoadReport {
+		line = line.Float64("share", result.LoadShare).Float64("limit", result.LoadLimit)
 	}
 	if c.ID > 0 {
 		line = line.Uint64("call", c.ID)
@@ -36,48 +39,51 @@
 	return line.Str("ntf", m.ID).Str("topic", m.Topic).Str("dest", m.Dest).Str("endpoint", c.Endpoint.ID)
 }
 
-// logOwed tells of each message that a process before left behind what the ledger says of it, so that a log can be laid beside
-// the log of that process and beside "orchiddrift ledger inspect".
-func (r *Runner) logOwed(owed []ledger.Pending) {
+// logRestored logs, for each message that an earlier process left in the ledger, what the ledger says of it. The lines can
+// be compared with the log of that process and with the output of "orchiddrift ledger inspect".
+func (r *Runner) logRestored(restored []ledger.Pending) {
 	now := r.Clock()
-	for _, o := range owed {
-		m := o.Message
+	for _, pending := range restored {
+		m := pending.Message
 		line := r.Log.Info().Str("ntf", m.ID).Str("topic", m.Topic).Str("dest", m.Dest).Int("pushes", m.Pushes).
-			Float64("left", m.ExpiresAt-now).Stringer("state", o.State())
-		if o.LastCall.End != ledger.EndNone {
-			line = line.Uint64("last_call", o.LastCall.Number).Float64("last_began", o.LastCall.StartedAt).Str("last_to", o.LastCall.Endpoint).Str("last_end", string(o.LastCall.End))
+			Float64("left", m.ExpiresAt-now).Stringer("state", pending.State())
+		if pending.LastCall.End != ledger.EndNone {
+			line = line.Uint64("last_call", pending.LastCall.Number).Float64("last_began", pending.LastCall.StartedAt).
+				Str("last_to", pending.LastCall.Endpoint).Str("last_end", string(pending.LastCall.End))
 		}
 		if m.RanAt > 0 {
 			line = line.Uint64("ran_call", m.RanCall).Float64("ran_at", m.RanAt).Float64("ran_ago", now-m.RanAt).
 				Str("ran_to", m.RanTo).Str("ran_zone", m.RanZone)
 		}
-		if o.Notice != nil {
-			line = line.Str("notice", o.Notice.Outcome)
+		if pending.Notice != nil {
+			line = line.Str("notice", pending.Notice.Outcome)
 		}
-		line.Msg("owed")
-		r.Metrics.owed(o.State())
+		line.Msg("message restored from the ledger")
+		r.Metrics.messageRestored(pending.State())
 	}
 }
 
-// logRepeats tells of each message in a call whose earlier call may have run how long ago that was and where it is known.
-func (r *Runner) logRepeats(b SendCall) {
-	for _, x := range b.Repeats {
-		r.Log.Info().Str("ntf", x.ID).Uint64("call", b.Call.ID).Str("endpoint", b.Call.Endpoint.ID).Float64("since_first", x.SinceFirst).
-			Str("group", x.Group).Str("zone", x.Zone).Str("endpoint_zone", b.Call.Endpoint.Zone).Msg("repeat")
-		r.Metrics.repeated()
+// logRepeats logs, for each message in a call with an earlier push that may have run, how long ago that push was sent and
+// in which scope it is known.
+func (r *Runner) logRepeats(effect SendCall) {
+	for _, repeat := range effect.Repeats {
+		r.Log.Info().Str("ntf", repeat.ID).Uint64("call", effect.Call.ID).Str("endpoint", effect.Call.Endpoint.ID).
+			Float64("since_first", repeat.SinceFirst).Str("group", repeat.Group).Str("zone", repeat.Zone).
+			Str("endpoint_zone", effect.Call.Endpoint.Zone).Msg("sending a push again that may have run")
+		r.Metrics.pushRepeated()
 	}
 }
 
-// log writes the lines that on-call staff read.
-func (r *Runner) log(e Event) {
+// logEvent logs an event for operators and counts it in the metrics.
+func (r *Runner) logEvent(e Event) {
 	switch e := e.(type) {
 	case CallEnded:
-		r.trace(e.Call, "push ended", e.Answer)
+		r.traceCall(e.Call, "push ended", e.Result)
 		for i, m := range e.Call.Messages {
-			r.Metrics.ended(e.Answer.Ends[i])
-			if end := e.Answer.Ends[i]; end != push.Delivered {
-				about(r.Log.Info(), e.Call, m, e.Answer).Stringer("end", end).Float64("wait", e.Answer.RetryAfter).
-					Float64("after", r.Clock()-e.Call.placed).Msg("push not delivered")
+			r.Metrics.pushEnded(e.Result.Ends[i])
+			if end := e.Result.Ends[i]; end != push.Delivered {
+				withCallFields(r.Log.Info(), e.Call, m, e.Result).Stringer("end", end).Float64("wait", e.Result.RetryAfter).
+					Float64("after", r.Clock()-e.Call.placedAt).Msg("push not delivered")
 			}
 		}
 	case Dialed:
@@ -85,28 +91,29 @@
 			ids := make([]string, len(e.Call.Messages))
 			for i, m := range e.Call.Messages {
 				ids[i] = m.ID
-				r.Metrics.ended(e.End)
+				r.Metrics.pushEnded(e.End)
 			}
 			r.Log.Info().Str("endpoint", e.Call.Endpoint.ID).Str("dest", e.Call.Endpoint.Dest).Strs("ntfs", ids).
-				Stringer("end", e.End).Msg("no connection")
+				Stringer("end", e.End).Msg("no connection for call")
 		}
 	case LateWait:
-		r.Log.Info().Str("endpoint", e.Endpoint.ID).Str("dest", e.Endpoint.Dest).Float64("wait", e.Wait).Msg("wait told late")
+		r.Log.Info().Str("endpoint", e.Endpoint.ID).Str("dest", e.Endpoint.Dest).Float64("wait", e.Wait).
+			Msg("endpoint told a wait after its call was given up")
 	case NoticeAnswered:
 		r.Log.Debug().Str("ntf", e.ID).Msg("notice answered")
 	case Listed:
-		if e.Full || len(e.Endpoints) > 0 || r.listLost {
-			r.Log.Info().Bool("full", e.Full).Int("entries", len(e.Endpoints)).Msg("list")
+		if e.Full || len(e.Endpoints) > 0 || r.listFailureLogged {
+			r.Log.Info().Bool("full", e.Full).Int("entries", len(e.Endpoints)).Msg("endpoint list updated")
 		}
-		r.listLost = false
+		r.listFailureLogged = false
 	case ListLost:
-		if !r.listLost {
-			r.Log.Warn().Msg("list not told")
+		if !r.listFailureLogged {
+			r.Log.Warn().Msg("endpoint list not available")
 		}
-		r.listLost = true
+		r.listFailureLogged = true
 	case IntakeClosed:
-		r.Log.Info().Int("held", r.Gateway.Pending()).Msg("no client comes any more")
+		r.Log.Info().Int("held", r.Gateway.Pending()).Msg("shutdown: clients can no longer connect")
 	case PushesStopped:
-		r.Log.Info().Int("held", r.Gateway.Pending()).Msg("no push starts any more")
+		r.Log.Info().Int("held", r.Gateway.Pending()).Msg("shutdown: no further push starts")
 	}
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,30 +10,30 @@
 	"orchiddrift/push"
 )
 
-// Metrics counts what becomes of messages, in the text format of Prometheus. A nil Metrics counts nothing. Counting is one
-// goroutine's; Write may be called beside it.
+// Metrics counts the outcomes of messages and pushes. A nil Metrics counts nothing. Only one goroutine may count; Write may
+// be called concurrently.
 type Metrics struct {
 	set      *metrics.Set
 	pushes   map[push.End]*metrics.Counter
-	counters map[series]*metrics.Counter // the others
+	counters map[series]*metrics.Counter // all other counters
 }
 
-// series is a counter's name with its label.
+// series identifies a counter by its name and label.
 type series struct{ name, label, value string }
 
-// NewMetrics returns metrics with nothing counted.
+// NewMetrics returns a Metrics with no counters.
 func NewMetrics() *Metrics {
 	return &Metrics{set: metrics.NewSet(), pushes: map[push.End]*metrics.Counter{}, counters: map[series]*metrics.Counter{}}
 }
 
-// Write writes all metrics.
+// Write writes all counters in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) {
 	if m != nil {
 		m.set.WritePrometheus(w)
 	}
 }
 
-// counter is that of a series: its name is put together once.
+// counter returns the counter of a series. Its full name is built only once.
 func (m *Metrics) counter(s series) *metrics.Counter {
 	c := m.counters[s]
 	if c == nil {
@@ -47,15 +47,15 @@
 	return c
 }
 
-// count counts one more under a name with a label.
+// count increments a counter with a label; an empty label is left out.
 func (m *Metrics) count(name, label, value string) {
 	if m != nil {
 		m.counter(series{name, label, value}).Inc()
 	}
 }
 
-// ended counts a message's push by how it ended, one whose connection did not come up too.
-func (m *Metrics) ended(end push.End) {
+// pushEnded counts a push by its end, including pushes without a connection.
+func (m *Metrics) pushEnded(end push.End) {
 	if m == nil {
 		return
 	}
@@ -67,17 +67,17 @@
 	c.Inc()
 }
 
-// noticed counts a final answer by its outcome.
-func (m *Metrics) noticed(outcome string) { m.count("notices", "outcome", outcome) }
+// noticeSent counts a notice by its outcome.
+func (m *Metrics) noticeSent(outcome string) { m.count("notices", "outcome", outcome) }
 
-// refused counts a message that was not taken on.
-func (m *Metrics) refused(why Refusal) { m.count("refusals", "why", string(why)) }
+// messageRefused counts a refused message by the reason.
+func (m *Metrics) messageRefused(reason Refusal) { m.count("refusals", "why", string(reason)) }
 
-// owed counts a message that a process before left behind.
-func (m *Metrics) owed(state ledger.State) { m.count("restored", "state", state.String()) }
+// messageRestored counts a message that an earlier process left in the ledger, by its state.
+func (m *Metrics) messageRestored(state ledger.State) { m.count("restored", "state", state.String()) }
 
-// repeated counts a push of a message whose earlier push may have run.
-func (m *Metrics) repeated() { m.count("repeats", "", "") }
+// pushRepeated counts a push of a message with an earlier push that may have run.
+func (m *Metrics) pushRepeated() { m.count("repeats", "", "") }
 
-// unwritten counts a write of the ledger that failed.
-func (m *Metrics) unwritten() { m.count("ledger_write_errors", "", "") }
+// ledgerWriteFailed counts a failed write of the ledger.
+func (m *Metrics) ledgerWriteFailed() { m.count("ledger_write_errors", "", "") }
--- a/gateway/metrics_test.go
+++ b/gateway/metrics_test.go
@@ -11,9 +11,9 @@
 // allocation for each push by this test.
 func TestCountAllocatesNothing(t *testing.T) {
 	m := NewMetrics()
-	m.ended(push.Delivered)
-	m.repeated()
-	if n := testing.AllocsPerRun(100, func() { m.ended(push.Delivered); m.repeated() }); n > 0 {
+	m.pushEnded(push.Delivered)
+	m.pushRepeated()
+	if n := testing.AllocsPerRun(100, func() { m.pushEnded(push.Delivered); m.pushRepeated() }); n > 0 {
 		t.Errorf("%g allocations for a push", n)
 	}
 	var text strings.Builder
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -10,106 +10,111 @@
 	"orchiddrift/push"
 )
 
-// Platform is where the list comes from and notices go.
+// Platform is the source of the endpoint list and the recipient of notices. Its methods return at once and report what
+// follows by calling tell.
 type Platform interface {
 	Watch(tell func(Event))
 	Fetch(tell func(Event))
 	Notify(n Notify, tell func(Event))
 }
 
-// Runner carries out what a gateway asks for, and brings it what happens.
+// Runner runs a Gateway: it feeds events to it and carries out its effects.
 type Runner struct {
-	Gateway       *Gateway
-	Ledger        *ledger.Ledger
-	Platform      Platform
-	Clock         func() float64
-	Tick          float64 // the least seconds between two rounds of turns
-	Log           zerolog.Logger
-	Events        chan Event
-	Dialer        push.Dialer // nil for this machine's
-	WritePerEvent bool        // each event's records are written, and synced, by themselves
-	Metrics       *Metrics    // nil for none
-	listLost      bool        // the log has said so
-	batch         []Effect
-	unwritten     bool // the last write failed, and the log has said so
-	late          []late
-	refusals      []refusal // that are not sure yet
-	due           float64   // when the loop meant to look next
+	Gateway            *Gateway
+	Ledger             *ledger.Ledger
+	Platform           Platform
+	Clock              func() float64
+	Tick               float64 // minimum time between two rounds, in seconds
+	Log                zerolog.Logger
+	Events             chan Event
+	Dialer             push.Dialer // nil for the system's dialer
+	WritePerEvent      bool        // write, and sync, the records of each event separately
+	Metrics            *Metrics    // may be nil
+	listFailureLogged  bool        // the last fetch of the list failed, and that has been logged
+	effects            []Effect
+	writeFailureLogged bool // the last write failed, and that has been logged
+	deferred           []deferredEffect
+	pendingRefusals    []pendingRefusal // refusals that may not be sent yet
+	wakeAt             float64          // time for which the next iteration of the loop was scheduled
 }
 
-// A process that stood still longer than stalled, in seconds, may have been told things that no event says yet: no push
-// starts for afterStall, in which they come. Stalls up to 0.15 s are within the margins of all that is told.
-// The loop looks at the clock every heartbeat, so that a stall is seen in one that had nothing to do as well: what a stall
-// of less than heartbeat and stalled together hides is within the grace of half a second.
+// heartbeatInterval is the maximum sleep of the loop, so that a stall is also detected while there is nothing to do.
+//
+// stallThreshold is the delay of the loop above which the process counts as stalled. Shorter stalls are within the margins
+// of everything that a dispatcher may be told. A stall shorter than heartbeatInterval and stallThreshold together may go
+// unnoticed, which is within the grace of 0.5 s.
+//
+// pauseAfterStall is the pause of all pushes after a stall, in which news that arrived during the stall is read.
+//
+// All three are in seconds.
 const (
-	heartbeat  = 0.15
-	stalled    = 0.15
-	afterStall = 0.05
+	heartbeatInterval = 0.15
+	stallThreshold    = 0.15
+	pauseAfterStall   = 0.05
 )
 
-// leastSleep is the shortest sleep of the loop: what is due within it is due by then, and a rest that floats round to
-// nothing would let the loop spin.
-const leastSleep = time.Microsecond
+// minSleep is the minimum sleep of the loop. Anything due within it counts as due, and without it the loop would spin on
+// remainders that round to zero.
+const minSleep = time.Microsecond
 
-// Run takes in events and lets notifications go as their turns come, until the gateway has finished or stop
-// is closed.
+// Run processes events and starts rounds until the gateway has finished or stop is closed.
 func (r *Runner) Run(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
-	turned := math.Inf(-1)
-	r.due = r.Clock()
+	lastRound := math.Inf(-1)
+	r.wakeAt = r.Clock()
 	for !r.Gateway.Finished() {
 		select {
 		case <-stop:
-			r.last()
+			r.drainEvents()
 			return
 		case e := <-r.Events:
-			r.wake()
+			r.detectStall()
 			r.step(e)
 			if r.WritePerEvent {
 				r.flush()
 			}
 		case <-timer.C:
-			r.wake()
+			r.detectStall()
 		}
-		r.takeIn(len(r.Events)) // a wait that stands in an answer which is here would else be broken
-		wait := turned + r.Tick - r.Clock()
+		r.processEvents(len(r.Events)) // they may carry a told wait that the next round has to obey
+		wait := lastRound + r.Tick - r.Clock()
 		if wait <= 0 {
-			turned = r.Clock()
-			wait = r.turns(turned)
+			lastRound = r.Clock()
+			wait = r.runRound(lastRound)
 		}
-		r.due = r.Clock() + wait
-		timer.Reset(max(leastSleep, time.Duration(wait*float64(time.Second))))
+		r.wakeAt = r.Clock() + wait
+		timer.Reset(max(minSleep, time.Duration(wait*float64(time.Second))))
 	}
 }
 
-// turns lets go all whose turn has come, and tells when to look again, in seconds.
-func (r *Runner) turns(now float64) float64 {
-	effects, next := r.Gateway.PlaceDue(now)
-	r.batch = append(r.batch, effects...)
+// runRound places the messages that are due, and returns the time in seconds until the loop has to look again.
+func (r *Runner) runRound(now float64) float64 {
+	effects, wait := r.Gateway.PlaceDue(now)
+	r.effects = append(r.effects, effects...)
 	r.flush()
-	if len(r.late) > 0 {
-		next = min(next, diskRetry)
+	if len(r.deferred) > 0 {
+		wait = min(wait, diskRetryPause)
 	}
-	return min(next, heartbeat)
+	return min(wait, heartbeatInterval)
 }
 
-// wake notes that the loop runs again, and whether it stood still.
-func (r *Runner) wake() {
+// detectStall checks, after each sleep of the loop, whether the process was stalled.
+func (r *Runner) detectStall() {
 	now := r.Clock()
-	if late := now - r.due; late > stalled {
-		r.Log.Warn().Float64("late", late).Msg("the process stood still")
-		r.Gateway.ResumeAfterStall(now, late)
+	if delay := now - r.wakeAt; delay > stallThreshold {
+		r.Log.Warn().Float64("late", delay).Msg("process was stalled")
+		r.Gateway.ResumeAfterStall(now, delay)
 	}
 }
 
-// takeIn takes in so many of the events that wait, and then writes their records in one go.
-func (r *Runner) takeIn(n int) {
-	r.takeStep(n)
+// processEvents applies n queued events and then writes their records in one batch.
+func (r *Runner) processEvents(n int) {
+	r.stepEvents(n)
 	r.flush()
 }
 
-// takeStep takes in so many of the events that wait.
-func (r *Runner) takeStep(n int) {
+// stepEvents applies n queued events.
+func (r *Runner) stepEvents(n int) {
 	for ; n > 0; n-- {
 		r.step(<-r.Events)
 		if r.WritePerEvent {
@@ -118,26 +123,26 @@
 	}
 }
 
-// last takes in what came before the end: an answer that waits here unread would be a push that may have run after the
-// restart, and a once-only notification that was delivered would be given up.
-func (r *Runner) last() {
+// drainEvents applies the events that were queued before the process ends. A result that stays unread here would count as
+// a push that may have run after the restart, and a delivered once-only notification would be given up.
+func (r *Runner) drainEvents() {
 	for len(r.Events) > 0 {
-		r.takeIn(len(r.Events))
+		r.processEvents(len(r.Events))
 	}
 	r.flush()
 }
 
-// Restore takes back what is owed since before a restart.
-func (r *Runner) Restore(owed []ledger.Pending) {
-	r.logOwed(owed)
-	r.batch = append(r.batch, r.Gateway.Restore(r.Clock(), owed)...)
+// Restore hands the messages that the ledger held at startup to the gateway.
+func (r *Runner) Restore(restored []ledger.Pending) {
+	r.logRestored(restored)
+	r.effects = append(r.effects, r.Gateway.Restore(r.Clock(), restored)...)
 	r.flush()
 }
 
-// Post hands an event to the loop.
+// Post queues an event for the loop.
 func (r *Runner) Post(e Event) { r.Events <- e }
 
 func (r *Runner) step(e Event) {
-	r.log(e)
-	r.batch = append(r.batch, r.Gateway.Step(r.Clock(), e)...)
+	r.logEvent(e)
+	r.effects = append(r.effects, r.Gateway.Step(r.Clock(), e)...)
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -2,18 +2,18 @@
 
 import "orchiddrift/push"
 
-func (r *Runner) dial(addr string, within float64) (*push.Conn, push.End) {
+func (r *Runner) dial(addr string, timeout float64) (*push.Conn, push.End) {
 	if r.Dialer == nil {
-		return push.Dial(addr, within)
+		return push.Dial(addr, timeout)
 	}
-	return r.Dialer.Dial(addr, within)
+	return r.Dialer.Dial(addr, timeout)
 }
 
-// call sends a call and tells how it ended, and what was still told after that.
-func (r *Runner) call(c *Call) {
-	conn, a := c.Conn, r.send(c)
-	r.Post(CallEnded{c, a})
-	if !a.LateResponsePending {
+// performCall sends a call and reports its result, and a wait that the endpoint tells after the call was given up.
+func (r *Runner) performCall(c *Call) {
+	conn, result := c.Conn, r.send(c)
+	r.Post(CallEnded{c, result})
+	if !result.LateResponsePending {
 		return
 	}
 	if wait := conn.ReadLateRetryAfter(); wait > 0 {
@@ -21,17 +21,17 @@
 	}
 }
 
-// send sends a call and waits for its answer, by the clock as it is now: writing the records took its time, or the process
-// stood still. A call that told and kept more than it had left could end as delivered after a TTL in it, and a repeat
-// could leave when its mark is forgotten. Where there is nothing left of its time, or its time to start is over, it is
-// given back. It does harm where the clock of those who set the TTLs goes otherwise.
+// send sends a call and waits for the response. The remaining time is taken from the clock again, since writing the records
+// takes time and the process may have stalled. With an outdated budget, a push could be answered as delivered after the
+// end of its TTL, and a repeat could be sent after the endpoint has forgotten its idempotency key. The call is withdrawn if
+// it has no time left or its latest start has passed. That is wrong where the clock that set the TTLs differs from this one.
 func (r *Runner) send(c *Call) push.CallResult {
 	now := r.Clock()
-	left := c.Remaining(now)
-	if left < push.MinBudget || c.start < now {
-		a := push.UniformResult(len(c.Messages), push.Withdrawn)
-		a.Reusable = true
-		return a
+	remaining := c.Remaining(now)
+	if remaining < push.MinBudget || c.startBy < now {
+		result := push.UniformResult(len(c.Messages), push.Withdrawn)
+		result.Reusable = true
+		return result
 	}
-	return c.Conn.Send(c.Messages, left)
+	return c.Conn.Send(c.Messages, remaining)
 }
--- a/gateway/write.go
+++ b/gateway/write.go
@@ -8,82 +8,84 @@
 )
 
 const (
-	// diskRetry is the pause, in seconds, after a write that failed: until it is over no push starts.
-	diskRetry = 0.05
-	// slowWrite is how long, in seconds, a write may take before what has come meanwhile is taken in: a drain or a wait that
-	// was told then would be read behind the pushes that the write stands for.
-	slowWrite = 0.02
-	// lateWrite is how long, in seconds, a write may take before the log says so: the loop waits for it, and final answers
-	// are due within 0.3 s of their time.
-	lateWrite = 0.1
+	// diskRetryPause is the pause of all pushes, in seconds, after a failed write.
+	diskRetryPause = 0.05
+	// slowWriteThreshold is the duration of a write, in seconds, after which the events queued meanwhile are applied before
+	// the effects are carried out. Otherwise a drain or a told wait would be applied only after the pushes of that write.
+	slowWriteThreshold = 0.02
+	// writeWarningThreshold is the duration of a write, in seconds, above which a warning is logged. The loop waits for
+	// writes, and final answers are due within 0.3 s of the end of the TTL.
+	writeWarningThreshold = 0.1
 )
 
-// flush writes the records of all effects that wait, and then carries these out in their order: nothing is answered or
-// sent before the ledger has what it stands for.
+// flush writes the records of all queued effects, and then carries out the effects in order. No reply and no call is sent
+// before its records are in the ledger.
 func (r *Runner) flush() {
-	r.writeLate()
-	unkept := map[string]float64{} // messages that were not taken on, and when their times end
-	for len(r.batch) > 0 {
-		group, records := r.group()
+	r.retryDeferred()
+	failedAccepts := map[string]float64{} // ends of the TTLs, by ID, of messages that could not be accepted
+	for len(r.effects) > 0 {
+		group, records := r.nextGroup()
 		before := r.Clock()
-		w := written{all: r.write(records...)}
-		w.ends = w.all || r.writeEnds(group)
-		if r.Clock() > before+slowWrite {
-			r.takeStep(len(r.Events))
+		result := writeResult{allWritten: r.write(records...)}
+		result.restWritten = result.allWritten || r.writeWithoutAccepts(group)
+		if r.Clock() > before+slowWriteThreshold {
+			r.stepEvents(len(r.Events))
 		}
 		for _, e := range group {
-			r.carryOut(e, w, unkept)
+			r.execute(e, result, failedAccepts)
 		}
 	}
-	r.batch = nil
+	r.effects = nil
 }
 
-// written tells which records of a group are in the ledger: all of them, or those that have room where takings have none.
-type written struct{ all, ends bool }
+// writeResult says which records of a group are in the ledger: all of them, or all but those of the accepted messages, which
+// need more room.
+type writeResult struct{ allWritten, restWritten bool }
 
-// writeEnds writes the records of a group but its takings and what belongs to them, and tells whether they are there.
-func (r *Runner) writeEnds(group []Effect) bool {
-	refused := map[string]bool{}
+// writeWithoutAccepts writes the records of a group except those of newly accepted messages. It reports whether there were
+// such messages and the rest is written.
+func (r *Runner) writeWithoutAccepts(group []Effect) bool {
+	failedAccepts := map[string]bool{}
 	var records []ledger.Record
 	for _, e := range group {
 		if a, ok := e.(Accept); ok {
-			refused[a.Message.ID] = true
+			failedAccepts[a.Message.ID] = true
 			continue
 		}
-		for _, x := range recordsOf(e) {
-			if !refused[x.ID] {
-				records = append(records, x)
+		for _, record := range recordsOf(e) {
+			if !failedAccepts[record.ID] {
+				records = append(records, record)
 			}
 		}
 	}
-	return len(refused) > 0 && r.write(records...)
+	return len(failedAccepts) > 0 && r.write(records...)
 }
 
-// group takes effects off the batch, as many as have records that surely fit one write.
-func (r *Runner) group() ([]Effect, []ledger.Record) {
+// nextGroup takes effects off the queue, as many as have records that are sure to fit into one write.
+func (r *Runner) nextGroup() ([]Effect, []ledger.Record) {
 	n, bytes := 0, 0
 	var records []ledger.Record
-	for _, e := range r.batch {
-		list := recordsOf(e)
-		for _, x := range list {
-			if bytes += mostOver; x.Message != nil {
-				bytes += len(x.Message.Body)
+	for _, e := range r.effects {
+		effectRecords := recordsOf(e)
+		for _, record := range effectRecords {
+			if bytes += recordOverhead; record.Message != nil {
+				bytes += len(record.Message.Body)
 			}
 		}
 		if bytes > r.Ledger.BatchBytes() && n > 0 {
 			break
 		}
-		records = append(records, list...)
+		records = append(records, effectRecords...)
 		n++
 	}
-	group := r.batch[:n:n]
-	r.batch = r.batch[n:]
+	group := r.effects[:n:n]
+	r.effects = r.effects[n:]
 	return group, records
 }
 
-const mostOver = 64 // what a record is taken to have beside a body
+const recordOverhead = 64 // estimated size of a record, in bytes, in addition to a body
 
-// recordsOf are the records that an effect needs written first.
+// recordsOf returns the records that have to be written before an effect is carried out.
 func recordsOf(e Effect) []ledger.Record {
 	switch e := e.(type) {
 	case Accept:
@@ -96,62 +98,65 @@
 	return nil
 }
 
-// late is an effect that the ledger has no record for yet: the disk fails. It is written again until it is there.
-type late struct {
-	effect Effect
-	due    float64 // of a notice: from then on it may go unwritten, for a restart could push its message no more
+// deferredEffect is an effect that waits until the ledger can be written to again. A notice waits until its deadline at
+// most, the end of its message's TTL: from then on no later process can push the message, so the notice needs no record.
+type deferredEffect struct {
+	effect   Effect
+	deadline float64 // of a notice; 0 for other effects
 }
 
-// writeLate writes what could not be written before, in its order, and sends the notices whose records are there or whose
-// messages have no time left: those are due, disk or not.
-func (r *Runner) writeLate() {
-	r.answerRefused()
-	for len(r.late) > 0 {
-		if k, ok := r.late[0].effect.(WriteRecords); ok && !r.put(k.Records) {
+// retryDeferred writes the deferred records in order, and sends the deferred notices whose records are written. Notices
+// whose messages have no time left are sent without their records.
+func (r *Runner) retryDeferred() {
+	r.answerSettledRefusals()
+	for len(r.deferred) > 0 {
+		if w, ok := r.deferred[0].effect.(WriteRecords); ok && !r.tryWrite(w.Records) {
 			break
 		}
-		r.notifyLate(r.late[0])
-		r.late = r.late[1:]
+		r.notifyDeferred(r.deferred[0])
+		r.deferred = r.deferred[1:]
 	}
-	if len(r.late) == 0 {
+	if len(r.deferred) == 0 {
 		return
 	}
 	now := r.Clock()
-	r.Gateway.PausePushes(now + diskRetry)
-	r.late = slices.DeleteFunc(r.late, func(l late) bool { return l.due > 0 && l.due <= now && r.notifyLate(l) })
+	r.Gateway.PausePushes(now + diskRetryPause)
+	r.deferred = slices.DeleteFunc(r.deferred, func(l deferredEffect) bool {
+		return l.deadline > 0 && l.deadline <= now && r.notifyDeferred(l)
+	})
 }
 
-// refusal is the answer to a message whose taking could not be written. It promises that nobody pushes the message, so it waits
-// until no later process can read the record, or the message's time is over.
-type refusal struct {
-	to    func(Reply)
-	until float64
+// pendingRefusal is a refusal of a message whose record could not be written. A refusal promises that the message is not
+// pushed, so it waits until no later process can read the record, or the message's TTL has ended.
+type pendingRefusal struct {
+	reply     func(Reply)
+	expiresAt float64
 }
 
-// refuse answers that a message was not taken on, as soon as that is sure.
-func (r *Runner) refuse(to func(Reply), until float64) {
-	r.refusals = append(r.refusals, refusal{to, until})
-	r.answerRefused()
+// refuse queues the refusal of a message, and sends it once it is certain that the message is not pushed.
+func (r *Runner) refuse(reply func(Reply), expiresAt float64) {
+	r.pendingRefusals = append(r.pendingRefusals, pendingRefusal{reply, expiresAt})
+	r.answerSettledRefusals()
 }
 
-// answerRefused gives the refusals that are sure by now.
-func (r *Runner) answerRefused() {
-	if len(r.refusals) == 0 {
+// answerSettledRefusals sends the refusals of messages that are certain not to be pushed.
+func (r *Runner) answerSettledRefusals() {
+	if len(r.pendingRefusals) == 0 {
 		return
 	}
-	settled, now := r.Ledger.DiscardFailedWrite(), r.Clock()
-	r.refusals = slices.DeleteFunc(r.refusals, func(x refusal) bool {
-		if !settled && now < x.until {
+	discarded, now := r.Ledger.DiscardFailedWrite(), r.Clock()
+	r.pendingRefusals = slices.DeleteFunc(r.pendingRefusals, func(x pendingRefusal) bool {
+		if !discarded && now < x.expiresAt {
 			return false
 		}
-		r.Metrics.refused(LedgerFailed)
-		x.to(Reply{Reason: LedgerFailed})
+		r.Metrics.messageRefused(LedgerFailed)
+		x.reply(Reply{Reason: LedgerFailed})
 		return true
 	})
 }
 
-// notifyLate sends a notice that has waited, and tells whether it was one.
-func (r *Runner) notifyLate(l late) bool {
+// notifyDeferred sends a deferred notice. It reports whether the effect is one.
+func (r *Runner) notifyDeferred(l deferredEffect) bool {
 	n, ok := l.effect.(Notify)
 	if ok {
 		r.notify(n)
@@ -159,31 +164,31 @@
 	return ok
 }
 
-// carryOut carries out an effect whose records are written, or could not be.
-func (r *Runner) carryOut(e Effect, w written, unkept map[string]float64) {
+// execute carries out an effect after its records were written or the write failed.
+func (r *Runner) execute(e Effect, result writeResult, failedAccepts map[string]float64) {
 	switch e := e.(type) {
 	case Accept:
-		if w.all {
+		if result.allWritten {
 			e.Reply(Reply{Accepted: true})
-			r.Log.Debug().Str("ntf", e.Message.ID).Str("topic", e.Message.Topic).Str("dest", e.Message.Dest).Str("key", e.Message.Key).
-				Float64("left", e.Message.TimeLeft).Msg("taken")
+			r.Log.Debug().Str("ntf", e.Message.ID).Str("topic", e.Message.Topic).Str("dest", e.Message.Dest).
+				Str("key", e.Message.Key).Float64("left", e.Message.TimeLeft).Msg("message accepted")
 			return
 		}
-		unkept[e.Message.ID] = e.Message.ExpiresAt
+		failedAccepts[e.Message.ID] = e.Message.ExpiresAt
 		r.refuse(e.Reply, e.Message.ExpiresAt)
 		r.step(AcceptFailed{e.Message.ID})
 	case Answer:
-		if until, first := unkept[e.ID]; first { // it came twice, and the first is refused
-			r.refuse(e.To, until)
+		if expiresAt, failed := failedAccepts[e.ID]; failed { // a duplicate of a message that could not be accepted
+			r.refuse(e.Respond, expiresAt)
 			return
 		}
 		if !e.Accepted {
-			r.Metrics.refused(e.Reason)
+			r.Metrics.messageRefused(e.Reason)
 		}
-		e.To(e.Reply)
+		e.Respond(e.Reply)
 	case WriteRecords:
-		if !w.ends && len(e.Records) > 0 {
-			r.late = append(r.late, late{effect: e})
+		if !result.restWritten && len(e.Records) > 0 {
+			r.deferred = append(r.deferred, deferredEffect{effect: e})
 		}
 	case Dial:
 		go func() {
@@ -191,12 +196,12 @@
 			r.Post(Dialed{e.Call, conn, end})
 		}()
 	case SendCall:
-		r.begin(e, w.ends, unkept)
+		r.sendCall(e, result.restWritten, failedAccepts)
 	case CloseConn:
 		e.Conn.Close()
 	case Notify:
-		if len(r.late) > 0 && e.RemainingTTL > 0 {
-			r.late = append(r.late, late{e, r.Clock() + e.RemainingTTL})
+		if len(r.deferred) > 0 && e.RemainingTTL > 0 {
+			r.deferred = append(r.deferred, deferredEffect{e, r.Clock() + e.RemainingTTL})
 		} else {
 			r.notify(e)
 		}
@@ -207,53 +212,53 @@
 	}
 }
 
-// begin sends a call whose start is in the ledger. One whose start cannot be written is given back, as is one that what was
-// told during the write forbids.
-func (r *Runner) begin(e SendCall, written bool, unkept map[string]float64) {
-	unknown := func(x ledger.Record) bool { _, not := unkept[x.ID]; return not }
+// sendCall sends a call whose start is in the ledger. If its start could not be written, or an event applied since forbids
+// the call, it is not sent and its messages are returned to the scheduler.
+func (r *Runner) sendCall(e SendCall, startWritten bool, failedAccepts map[string]float64) {
+	acceptFailed := func(x ledger.Record) bool { _, failed := failedAccepts[x.ID]; return failed }
 	end := push.Withdrawn
-	if !written || slices.ContainsFunc(e.Records, unknown) {
+	if !startWritten || slices.ContainsFunc(e.Records, acceptFailed) {
 		end = push.LedgerFailed
-		r.Gateway.PausePushes(r.Clock() + diskRetry)
+		r.Gateway.PausePushes(r.Clock() + diskRetryPause)
 	} else if r.Gateway.MaySend(r.Clock(), e.Call) {
-		r.trace(e.Call, "push", push.CallResult{})
+		r.traceCall(e.Call, "sending push", push.CallResult{})
 		r.logRepeats(e)
-		go r.call(e.Call)
+		go r.performCall(e.Call)
 		return
 	}
-	a := push.UniformResult(len(e.Call.Messages), end)
-	a.Reusable = true
-	r.step(CallEnded{e.Call, a})
+	result := push.UniformResult(len(e.Call.Messages), end)
+	result.Reusable = true
+	r.step(CallEnded{e.Call, result})
 }
 
 func (r *Runner) notify(n Notify) {
-	r.Metrics.noticed(n.Outcome)
+	r.Metrics.noticeSent(n.Outcome)
 	r.Log.Info().Str("ntf", n.ID).Str("dest", n.Dest).Str("outcome", n.Outcome).Float64("retry_in", n.RetryIn).
-		Float64("left", n.RemainingTTL).Msg("notice")
+		Float64("left", n.RemainingTTL).Msg("sending notice")
 	r.Platform.Notify(n, r.Post)
 }
 
-// write puts records into the ledger and tells whether they are there. While earlier ones are late it does not try.
+// write writes records to the ledger and reports whether they are there. It does not try while earlier effects are deferred.
 func (r *Runner) write(records ...ledger.Record) bool {
-	return len(records) == 0 || len(r.late) == 0 && r.put(records)
+	return len(records) == 0 || len(r.deferred) == 0 && r.tryWrite(records)
 }
 
-// put tries to put records into the ledger.
-func (r *Runner) put(records []ledger.Record) bool {
+// tryWrite writes records to the ledger and reports whether they are there. It logs slow and failed writes.
+func (r *Runner) tryWrite(records []ledger.Record) bool {
 	before := r.Clock()
 	err := r.Ledger.Write(records...)
-	if took := r.Clock() - before; took > lateWrite {
-		r.Log.Warn().Float64("took", took).Int("records", len(records)).Msg("ledger slow: final answers may be late")
+	if took := r.Clock() - before; took > writeWarningThreshold {
+		r.Log.Warn().Float64("took", took).Int("records", len(records)).Msg("slow ledger write; final answers may be late")
 	}
 	if err != nil {
-		r.Metrics.unwritten()
+		r.Metrics.ledgerWriteFailed()
 	}
-	if err != nil && !r.unwritten {
-		r.Log.Error().Err(err).Msg("ledger not written")
+	if err != nil && !r.writeFailureLogged {
+		r.Log.Error().Err(err).Msg("ledger write failed")
 	}
-	if err == nil && r.unwritten {
-		r.Log.Info().Msg("ledger written again")
+	if err == nil && r.writeFailureLogged {
+		r.Log.Info().Msg("ledger writes succeed again")
 	}
-	r.unwritten = err != nil
+	r.writeFailureLogged = err != nil
 	return err == nil
 }
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant checks at run time what a dispatcher promises whatever fails. Its checks keep accounts of their own,
-// apart from those that decisions are made from; each violation is counted by name and logged with the notification's id.
-// A check changes nothing: what must not happen is prevented elsewhere, and a count above zero is a defect there.
+// Package invariant checks at run time the guarantees that a dispatcher gives under any failure. The checks keep their own
+// state, separate from the state on which decisions are based. Each violation is counted by the name of the invariant and
+// logged with the notification's ID. The checks prevent nothing: a count above zero is a defect in the code checked.
 package invariant
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/rs/zerolog"
 )
 
-// Name is an invariant's name in metrics and logs.
+// Name is the name of an invariant in metrics and logs.
 type Name string
 
-// The invariants.
+// Names of the invariants.
 const (
 	SentAfterFinal    Name = "sent_after_final_answer"
 	SentWhileInFlight Name = "sent_while_out"
@@ -28,48 +28,48 @@
 	ReadAfterClose    Name = "read_after_close"
 )
 
-// All are the invariants in the order of the metrics.
-var All = []Name{SentAfterFinal, SentWhileInFlight, SentOutsideWindow, SentToLeaving, SentDuringWait, SentOverRecovery, SentOutOfOrder,
-	SentBeforeList, ClosedUnanswered, ReadAfterClose}
+// All lists the invariants in the order of the metrics.
+var All = []Name{SentAfterFinal, SentWhileInFlight, SentOutsideWindow, SentToLeaving, SentDuringWait, SentOverRecovery,
+	SentOutOfOrder, SentBeforeList, ClosedUnanswered, ReadAfterClose}
 
-// Counters counts violations. The zero value counts and logs nothing but its counts; nil does nothing at all.
+// Counters counts violations. The zero value counts them without logging; a nil Counters does neither.
 type Counters struct {
 	Log    zerolog.Logger
-	Strict bool // a violation panics: for tests
+	Strict bool // panic on each violation; for tests
 
-	lock   sync.Mutex
+	mu     sync.Mutex
 	counts map[Name]int
 }
 
-// Report counts a violation by a notification, "" for none, and logs it.
+// Report counts and logs a violation by a notification; id is empty if there is none.
 func (c *Counters) Report(name Name, id, format string, args ...any) {
 	if c == nil {
 		return
 	}
 	text := fmt.Sprintf(format, args...)
-	c.lock.Lock()
+	c.mu.Lock()
 	if c.counts == nil {
 		c.counts = map[Name]int{}
 	}
 	c.counts[name]++
-	c.lock.Unlock()
+	c.mu.Unlock()
 	c.Log.Error().Str("invariant", string(name)).Str("ntf", id).Str("detail", text).Msg("invariant violated")
 	if c.Strict {
 		panic(fmt.Sprintf("invariant %s violated by %q: %s", name, id, text))
 	}
 }
 
-// Count is how often an invariant was violated.
+// Count returns the number of violations of an invariant.
 func (c *Counters) Count(name Name) int {
 	if c == nil {
 		return 0
 	}
-	c.lock.Lock()
-	defer c.lock.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	return c.counts[name]
 }
 
-// Write writes all counts in the text format of Prometheus.
+// Write writes all counts in the Prometheus text format.
 func (c *Counters) Write(w io.Writer) error {
 	const metric = "orchiddrift_invariant_violations_total"
 	if _, err := fmt.Fprintf(w, "# TYPE %s counter\n", metric); err != nil {
--- a/invariant/sends.go
+++ b/invariant/sends.go
@@ -2,235 +2,242 @@
 
 import "math"
 
-// Rules are what a notification allows.
+// Rules are the limits on the pushes of a notification.
 type Rules struct {
-	Deadline        float64 // its TTL ends
-	Window          float64 // how long a repeat is known after the first push that may have run; 0 for no bound
-	OnceOnly        bool    // it may not be pushed again once a push may have run
-	Key             string  // notifications of one key go one at a time, in the order taken; "" for none
-	MayHaveRunSince float64 // when the first push that may have run was sent, in the process before; 0 for none
+	Deadline        float64 // end of its TTL
+	Window          float64 // how long after the first push that may have run a repeat is recognized; 0 for no limit
+	OnceOnly        bool    // no further push is allowed after one that may have run
+	Key             string  // notifications with the same key are pushed one at a time, in the order accepted; "" for none
+	MayHaveRunSince float64 // time of the first push that may have run; 0 for none
 }
 
-// Target is where a call goes.
+// Target is the target of a call.
 type Target struct {
-	Throttle string // what a told wait binds: the destination, or one of its routes
+	Throttle string // scope of a told wait: the destination, or one of its routes
 	Endpoint string
 }
 
-// Margins are the allowances within which a dispatcher may be late, in seconds.
+// Margins are tolerances, in seconds.
 type Margins struct {
-	DrainGrace float64 // a call may still go to an endpoint so long after it was told to be leaving
-	KeyHold    float64 // a key rests after a push that may still run
+	DrainGrace float64 // calls may still be sent to an endpoint for this long after it was listed as leaving
+	KeyHold    float64 // a key is held for this long after a push that may still run
 }
 
-// SendChecker checks each call before it is sent. It is one goroutine's. Times are seconds of the dispatcher's clock.
+// SendChecker checks each call before it is sent. It is not safe for concurrent use. Times are in seconds of the
+// dispatcher's clock. A nil SendChecker checks nothing.
 type SendChecker struct {
-	counters *Counters
-	margins  Margins
-	open     map[string]*open
-	final    map[string]float64 // by notification: until when its TTL runs
-	keys     map[string][]string
-	rests    map[string]rest // by key
-	waits    map[string]float64
-	leaving  map[string]float64 // by endpoint: since when
-	listed   bool
-	listBy   float64
-	starts   map[string][]float64
-}
-
-// rest is how long a key waits behind a push of a notification that may still run; that itself may be pushed again.
-type rest struct {
+	counters      *Counters
+	margins       Margins
+	open          map[string]*openNotification
+	finished      map[string]float64 // by notification ID: end of the TTL
+	keyQueues     map[string][]string
+	keyHolds      map[string]keyHold // by key
+	toldWaits     map[string]float64
+	leavingSince  map[string]float64 // by endpoint: time at which it was first listed as leaving
+	listWaitOver  bool
+	listWaitUntil float64
+	recoveryCalls map[string][]float64
+}
+
+// keyHold holds a key for a notification whose push may still run. Only that notification may be pushed again.
+type keyHold struct {
 	id    string
 	until float64
 }
 
-// open is a notification without its final answer.
-type open struct {
+// openNotification is a notification without a final answer.
+type openNotification struct {
 	Rules
-	out bool
+	inFlight bool
 }
 
-// NewSendChecker returns the checks of a process that may send from a moment on, or once it has heard a list.
-func NewSendChecker(counters *Counters, margins Margins, listBy float64) *SendChecker {
-	return &SendChecker{counters: counters, margins: margins, listBy: listBy, open: map[string]*open{}, final: map[string]float64{},
-		keys: map[string][]string{}, rests: map[string]rest{}, waits: map[string]float64{}, leaving: map[string]float64{},
-		starts: map[string][]float64{}}
+// NewSendChecker returns a SendChecker of a process that may send once ListWaitEnded is called, or from listWaitUntil on.
+func NewSendChecker(counters *Counters, margins Margins, listWaitUntil float64) *SendChecker {
+	return &SendChecker{counters: counters, margins: margins, listWaitUntil: listWaitUntil, open: map[string]*openNotification{},
+		finished: map[string]float64{}, keyQueues: map[string][]string{}, keyHolds: map[string]keyHold{},
+		toldWaits: map[string]float64{}, leavingSince: map[string]float64{}, recoveryCalls: map[string][]float64{}}
 }
 
-// Accepted tells that a notification was taken on.
+// Accepted records that a notification was accepted.
 func (s *SendChecker) Accepted(id string, r Rules) {
 	if s == nil {
 		return
 	}
-	delete(s.final, id)
-	s.open[id] = &open{Rules: r}
+	delete(s.finished, id)
+	s.open[id] = &openNotification{Rules: r}
 	if r.Key != "" {
-		s.keys[r.Key] = append(s.keys[r.Key], id)
+		s.keyQueues[r.Key] = append(s.keyQueues[r.Key], id)
 	}
 }
 
-// Finished tells that a notification has its final answer, or was never taken on.
+// Finished records that a notification has its final answer, or that its acceptance failed.
 func (s *SendChecker) Finished(id string) {
 	if s == nil || s.open[id] == nil {
 		return
 	}
-	s.final[id] = s.open[id].Deadline
+	s.finished[id] = s.open[id].Deadline
 	if key := s.open[id].Key; key != "" {
-		s.leaveKey(key, id)
+		s.removeFromKey(key, id)
 	}
 	delete(s.open, id)
 }
 
-func (s *SendChecker) leaveKey(key, id string) {
-	list := s.keys[key][:0]
-	for _, x := range s.keys[key] {
-		if x != id {
-			list = append(list, x)
+func (s *SendChecker) removeFromKey(key, id string) {
+	queue := s.keyQueues[key][:0]
+	for _, queued := range s.keyQueues[key] {
+		if queued != id {
+			queue = append(queue, queued)
 		}
 	}
-	if s.keys[key] = list; len(list) == 0 {
-		delete(s.keys, key)
+	if s.keyQueues[key] = queue; len(queue) == 0 {
+		delete(s.keyQueues, key)
 	}
 }
 
-// WaitTold tells that an endpoint told a wait.
+// WaitTold records a wait told by an endpoint.
 func (s *SendChecker) WaitTold(throttle string, until float64) {
 	if s != nil {
-		s.waits[throttle] = max(s.waits[throttle], until)
+		s.toldWaits[throttle] = max(s.toldWaits[throttle], until)
 	}
 }
 
-// ListWaitEnded tells that discovery has said something, or was asked in vain.
+// ListWaitEnded records that discovery has responded or failed.
 func (s *SendChecker) ListWaitEnded() {
 	if s != nil {
-		s.listed = true
+		s.listWaitOver = true
 	}
 }
 
-// EndpointListed tells that an endpoint was listed as ready or as leaving.
+// EndpointListed records that an endpoint was listed, either as ready or as leaving.
 func (s *SendChecker) EndpointListed(now float64, endpoint string, ready bool) {
 	if s == nil {
 		return
 	}
 	if ready {
-		delete(s.leaving, endpoint)
-	} else if s.leaving[endpoint] == 0 {
-		s.leaving[endpoint] = now
+		delete(s.leavingSince, endpoint)
+	} else if s.leavingSince[endpoint] == 0 {
+		s.leavingSince[endpoint] = now
 	}
 }
 
-// CheckSend checks a notification that is about to be sent.
-func (s *SendChecker) CheckSend(now float64, id string, to Target) {
+// CheckSend checks a push of a notification that is about to be sent.
+func (s *SendChecker) CheckSend(now float64, id string, target Target) {
 	if s == nil {
 		return
 	}
-	if until, over := s.final[id]; over {
-		s.counters.Report(SentAfterFinal, id, "to %s; its TTL ends at %.3f", to.Endpoint, until)
+	if expiresAt, finished := s.finished[id]; finished {
+		s.counters.Report(SentAfterFinal, id, "sent to %s after its final answer; its TTL ends at %.3f", target.Endpoint,
+			expiresAt)
 		return
 	}
-	o := s.open[id]
-	if o == nil {
-		s.counters.Report(SentAfterFinal, id, "to %s; it is not in hand", to.Endpoint)
+	n := s.open[id]
+	if n == nil {
+		s.counters.Report(SentAfterFinal, id, "sent to %s; it was not accepted or its final answer is no longer recorded",
+			target.Endpoint)
 		return
 	}
-	if o.out {
-		s.counters.Report(SentWhileInFlight, id, "to %s; another push of it is out", to.Endpoint)
+	if n.inFlight {
+		s.counters.Report(SentWhileInFlight, id, "sent to %s while another push of it is in flight", target.Endpoint)
 	}
-	if now > o.Deadline {
-		s.counters.Report(SentOutsideWindow, id, "to %s at %.3f; its TTL ended at %.3f", to.Endpoint, now, o.Deadline)
+	if now > n.Deadline {
+		s.counters.Report(SentOutsideWindow, id, "sent to %s at %.3f; its TTL ended at %.3f", target.Endpoint, now, n.Deadline)
 	}
-	if o.MayHaveRunSince > 0 && (o.OnceOnly || o.Window > 0 && now > o.MayHaveRunSince+o.Window) {
-		s.counters.Report(SentOutsideWindow, id, "to %s at %.3f; a push of %.3f may have run", to.Endpoint, now, o.MayHaveRunSince)
+	if n.MayHaveRunSince > 0 && (n.OnceOnly || n.Window > 0 && now > n.MayHaveRunSince+n.Window) {
+		s.counters.Report(SentOutsideWindow, id, "sent to %s at %.3f; the push sent at %.3f may have run", target.Endpoint, now,
+			n.MayHaveRunSince)
 	}
-	if until := s.waits[to.Throttle]; now < until {
-		s.counters.Report(SentDuringWait, id, "to %s at %.3f; told to wait until %.3f", to.Endpoint, now, until)
+	if until := s.toldWaits[target.Throttle]; now < until {
+		s.counters.Report(SentDuringWait, id, "sent to %s at %.3f; told to wait until %.3f", target.Endpoint, now, until)
 	}
-	if since, leaving := s.leaving[to.Endpoint]; leaving && now > since+s.margins.DrainGrace {
-		s.counters.Report(SentToLeaving, id, "to %s at %.3f; leaving since %.3f", to.Endpoint, now, since)
+	if since, leaving := s.leavingSince[target.Endpoint]; leaving && now > since+s.margins.DrainGrace {
+		s.counters.Report(SentToLeaving, id, "sent to %s at %.3f; endpoint leaving since %.3f", target.Endpoint, now, since)
 	}
-	if !s.listed && now < s.listBy {
-		s.counters.Report(SentBeforeList, id, "to %s at %.3f; the list is waited for until %.3f", to.Endpoint, now, s.listBy)
+	if !s.listWaitOver && now < s.listWaitUntil {
+		s.counters.Report(SentBeforeList, id, "sent to %s at %.3f before the first list; waiting for it until %.3f",
+			target.Endpoint, now, s.listWaitUntil)
 	}
-	if o.Key != "" {
-		s.inTurn(now, id, o.Key, to)
+	if n.Key != "" {
+		s.checkKeyOrder(now, id, n.Key, target)
 	}
-	o.out = true
+	n.inFlight = true
 }
 
-// inTurn checks that a key is a notification's own.
-func (s *SendChecker) inTurn(now float64, id, key string, to Target) {
-	first, r := s.keys[key][0], s.rests[key]
-	if first != id || r.id != id && now < r.until {
-		s.counters.Report(SentOutOfOrder, id, "of key %q to %s at %.3f; first is %q, the key rests until %.3f behind %q", key,
-			to.Endpoint, now, first, r.until, r.id)
+// checkKeyOrder checks that a notification is the first of its key, and that the key is not held for another one.
+func (s *SendChecker) checkKeyOrder(now float64, id, key string, target Target) {
+	first, hold := s.keyQueues[key][0], s.keyHolds[key]
+	if first != id || hold.id != id && now < hold.until {
+		s.counters.Report(SentOutOfOrder, id, "key %q: sent to %s at %.3f; first of the key is %q, key held until %.3f for %q",
+			key, target.Endpoint, now, first, hold.until, hold.id)
 	}
 }
 
-// PushEnded tells that a push ended: whether it may have run, and whether it may run still.
+// PushEnded records the end of a push, whether it may have run, and whether it may still run.
 func (s *SendChecker) PushEnded(now, sentAt float64, id string, mayHaveRun, mayStillRun bool) {
 	if s == nil || s.open[id] == nil {
 		return
 	}
-	o := s.open[id]
-	o.out = false
-	if mayHaveRun && o.MayHaveRunSince == 0 {
-		o.MayHaveRunSince = sentAt
+	n := s.open[id]
+	n.inFlight = false
+	if mayHaveRun && n.MayHaveRunSince == 0 {
+		n.MayHaveRunSince = sentAt
 	}
-	if mayStillRun && o.Key != "" {
-		s.rests[o.Key] = rest{id, now + s.margins.KeyHold}
+	if mayStillRun && n.Key != "" {
+		s.keyHolds[n.Key] = keyHold{id, now + s.margins.KeyHold}
 	}
 }
 
-// CheckRecovery checks a call to a destination, or a route, that comes back from an outage: in the span it may get so many
-// calls as the settings allow it, with some for chance, and this dispatcher alone may not send more.
-func (s *SendChecker) CheckRecovery(now float64, id, throttle string, calls, span float64) {
+// CheckRecovery checks a call to a destination or route that recovers from an outage. A single dispatcher must not send more
+// calls within span, in seconds, than the settings allow for all, plus a tolerance for random variation.
+func (s *SendChecker) CheckRecovery(now float64, id, throttle string, allowed, span float64) {
 	if s == nil {
 		return
 	}
-	list := s.starts[throttle]
-	for len(list) > 0 && list[0] <= now-span {
-		list = list[1:]
+	sent := s.recoveryCalls[throttle]
+	for len(sent) > 0 && sent[0] <= now-span {
+		sent = sent[1:]
 	}
-	list = append(list, now)
-	s.starts[throttle] = list
-	if most := RecoveryBudget(calls); float64(len(list)) > most {
-		s.counters.Report(SentOverRecovery, id, "call %d in %.1f s to %s, of %.1f", len(list), span, throttle, most)
+	sent = append(sent, now)
+	s.recoveryCalls[throttle] = sent
+	if budget := RecoveryBudget(allowed); float64(len(sent)) > budget {
+		s.counters.Report(SentOverRecovery, id, "call %d within %.1f s to %s; at most %.1f allowed", len(sent), span, throttle, budget)
 	}
 }
 
-// few is the number of calls under which chance weighs more.
-const few = 30
+// fewCalls is the number of calls below which RecoveryBudget has a wider tolerance for random variation.
+const fewCalls = 30
 
-// RecoveryBudget is how many calls a destination in slow start takes where the settings allow it so many.
+// RecoveryBudget returns the maximum number of calls that a destination in slow start may get where the settings allow the
+// given number: it adds a tolerance for random variation.
 func RecoveryBudget(calls float64) float64 {
-	if calls < few {
+	if calls < fewCalls {
 		return calls + 3*math.Sqrt(calls) + 3
 	}
 	return calls + 2*math.Sqrt(calls) + 2
 }
 
-// Prune lets go of final answers whose TTLs are over, waits that are, and endpoints that nobody knows any more.
+// Prune removes final answers whose TTL has ended, waits and key holds that have ended, and endpoints that are no longer
+// known.
 func (s *SendChecker) Prune(now float64, known func(endpoint string) bool) {
 	if s == nil {
 		return
 	}
-	drop := func(m map[string]float64) {
+	dropExpired := func(m map[string]float64) {
 		for k, until := range m {
 			if until < now {
 				delete(m, k)
 			}
 		}
 	}
-	drop(s.final)
-	drop(s.waits)
-	for key, r := range s.rests {
-		if r.until < now {
-			delete(s.rests, key)
+	dropExpired(s.finished)
+	dropExpired(s.toldWaits)
+	for key, hold := range s.keyHolds {
+		if hold.until < now {
+			delete(s.keyHolds, key)
 		}
 	}
-	for e := range s.leaving {
-		if !known(e) {
-			delete(s.leaving, e)
+	for endpoint := range s.leavingSince {
+		if !known(endpoint) {
+			delete(s.leavingSince, endpoint)
 		}
 	}
 }
