--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -158,7 +158,7 @@
 			Endpoint: c.Endpoint.ID, Zone: c.Endpoint.Zone, CallNumber: c.ID})
 		if firstRun := g.pending[m.ID].firstRun; firstRun.SentAt > 0 {
 			effect.Repeats = append(effect.Repeats, Repeat{ID: m.ID, SinceFirst: now - firstRun.SentAt,
-				Group: g.scheduler.Topic(m.Topic).DedupScope, Zone: firstRun.Zone})
+				DedupScope: g.scheduler.Topic(m.Topic).DedupScope, Zone: firstRun.Zone})
 		}
 	}
 	g.emit(effect)
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -124,7 +124,7 @@
 type Repeat struct {
 	ID         string
 	SinceFirst float64 // seconds since the first push that may have run
-	Group      string  // scope in which that push is known: "all" endpoints of the destination, or those of one "zone"
+	DedupScope string  // scope in which that push is known: "all" endpoints of the destination, or those of one "zone"
 	Zone       string  // zone of the first push that may have run
 }
 
@@ -137,7 +137,7 @@
 	Outcome      string
 	RetryIn      float64
 	Dest         string  // for the log: destination of the message
-	RemainingTTL float64 // for the log: seconds left of its TTL; much time left and no push means that there was no room for it
+	RemainingTTL float64 // seconds left of its TTL; much time left and no push means that there was no room for it
 }
 
 // Watch follows the endpoint list; Listed and ListLost follow.
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -68,8 +68,8 @@
 func (r *Runner) logRepeats(effect SendCall) {
 	for _, repeat := range effect.Repeats {
 		r.Log.Info().Str("ntf", repeat.ID).Uint64("call", effect.Call.ID).Str("endpoint", effect.Call.Endpoint.ID).
-			Float64("since_first", repeat.SinceFirst).Str("group", repeat.Group).Str("zone", repeat.Zone).
-			Str("endpoint_zone", effect.Call.Endpoint.Zone).Msg("sending a push again that may have run")
+			Float64("since_first", repeat.SinceFirst).Str("group", repeat.DedupScope).Str("zone", repeat.Zone).
+			Str("endpoint_zone", effect.Call.Endpoint.Zone).Msg("repeat")
 		r.Metrics.pushRepeated()
 	}
 }
