--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads an instance's settings and hands each part of the decision module its own.
+// Package settings parses the platform's settings of a dispatcher and builds its decision module from them.
 package settings
 
 import (
@@ -11,36 +11,36 @@
 	"strings"
 )
 
-// absent is how a value that is not there may be written.
+// absent is the text that marks a setting as not set.
 const absent = "-"
 
-// Values are settings by path, as text. Unknown ones do no harm. The first that is missing or unreadable is
-// kept as the error.
+// Values holds settings as text, by path. Unknown settings are ignored. The accessors record the first setting that
+// is missing or invalid; Err returns it.
 type Values struct {
 	values map[string]string
 	err    error
 }
 
-// FromPairs reads path=value pairs.
+// FromPairs parses path=value pairs.
 func FromPairs(pairs []string) (*Values, error) {
 	s := &Values{values: map[string]string{}}
 	for _, pair := range pairs {
 		path, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return nil, bad("boot-info", pair)
+			return nil, fieldError("boot-info", pair)
 		}
 		s.values[path] = value
 	}
 	return s, nil
 }
 
-// FromJSON reads a nested object: paths are joined by dots, plain lists by commas, and a list of objects has
-// its length under .count.
+// FromJSON parses a nested object. The keys on the way to a value are joined by dots to its path, scalars of a list
+// are joined by commas, and the length of a list of objects is stored under the suffix ".count".
 func FromJSON(text []byte) (*Values, error) {
 	var tree map[string]any
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
-	if err := d.Decode(&tree); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s := &Values{values: map[string]string{}}
@@ -53,84 +53,85 @@
 func (s *Values) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
-		for name, inner := range v {
-			s.flatten(path+"."+name, inner)
+		for name, child := range v {
+			s.flatten(path+"."+name, child)
 		}
 	case []any:
-		var plain []string
-		for i, inner := range v {
-			if _, ok := inner.(map[string]any); ok {
+		var scalars []string
+		for i, element := range v {
+			if _, ok := element.(map[string]any); ok {
 				s.values[path+".count"] = strconv.Itoa(len(v))
-				s.flatten(fmt.Sprintf("%s.%d", path, i), inner)
+				s.flatten(fmt.Sprintf("%s.%d", path, i), element)
 			} else {
-				plain = append(plain, fmt.Sprint(inner))
+				scalars = append(scalars, fmt.Sprint(element))
 			}
 		}
-		s.values[path] = strings.Join(plain, ",")
+		s.values[path] = strings.Join(scalars, ",")
 	case nil:
 	default:
 		s.values[path] = fmt.Sprint(v)
 	}
 }
 
-func bad(path, value string) error { return fmt.Errorf("field %s cannot be %q", path, value) }
+func fieldError(path, value string) error { return fmt.Errorf("field %s cannot be %q", path, value) }
 
-// Err is the first error met.
+// Err returns the first error that an accessor met.
 func (s *Values) Err() error { return s.err }
 
-// Text returns a setting that must be there.
+// Text returns a required setting.
 func (s *Values) Text(path string) string {
 	v, ok := s.values[path]
 	if (!ok || v == absent) && s.err == nil {
-		s.err = bad(path, v)
+		s.err = fieldError(path, v)
 	}
 	return v
 }
 
-// oneOf returns a setting that is one of some words, or other where there is none; without other it must be there.
-func (s *Values) oneOf(path, other string, words ...string) string {
+// oneOf returns a setting whose value must be one of words. If it is not set, oneOf returns fallback; if fallback is
+// empty, the setting is required.
+func (s *Values) oneOf(path, fallback string, words ...string) string {
 	v, ok := s.values[path]
-	if (!ok || v == absent) && other != "" {
-		return other
+	if (!ok || v == absent) && fallback != "" {
+		return fallback
 	}
 	if !slices.Contains(words, v) && s.err == nil {
-		s.err = fmt.Errorf("%w: use one of %s", bad(path, v), strings.Join(words, ", "))
+		s.err = fmt.Errorf("%w: use one of %s", fieldError(path, v), strings.Join(words, ", "))
 	}
 	return v
 }
 
-// Float returns a number that must be there.
+// Float returns a required finite number.
 func (s *Values) Float(path string) float64 {
 	text := s.Text(path)
 	v, err := strconv.ParseFloat(text, 64)
 	if (err != nil || math.IsNaN(v) || math.IsInf(v, 0)) && s.err == nil {
-		s.err = bad(path, text)
+		s.err = fieldError(path, text)
 	}
 	return v
 }
 
-// FloatOr returns a number, or other where there is none.
-func (s *Values) FloatOr(path string, other float64) float64 {
+// FloatOr returns a finite number, or fallback if it is not set.
+func (s *Values) FloatOr(path string, fallback float64) float64 {
 	if v, ok := s.values[path]; !ok || v == absent {
-		return other
+		return fallback
 	}
 	return s.Float(path)
 }
 
-// Seconds returns a time, which settings give in milliseconds.
+// Seconds returns a required duration in seconds; the setting is in milliseconds.
 func (s *Values) Seconds(path string) float64 { return s.Float(path) / 1000 }
 
-// Int returns a whole number that must be there.
+// Int returns a required integer.
 func (s *Values) Int(path string) int {
 	text := s.Text(path)
 	v, err := strconv.Atoi(text)
 	if err != nil && s.err == nil {
-		s.err = bad(path, text)
+		s.err = fieldError(path, text)
 	}
 	return v
 }
 
-// Bool returns a flag, true or false; absent is false.
+// Bool reports whether a setting is true. It is false if it is not set.
 func (s *Values) Bool(path string) bool {
 	switch v := s.values[path]; v {
 	case "true", "1":
@@ -138,13 +139,13 @@
 	case "", absent, "false", "0":
 	default:
 		if s.err == nil {
-			s.err = bad(path, v)
+			s.err = fieldError(path, v)
 		}
 	}
 	return false
 }
 
-// List returns a comma-joined list; absent is empty.
+// List returns the elements of a comma-separated list, none if it is not set.
 func (s *Values) List(path string) []string {
 	if v := s.values[path]; v != "" && v != absent {
 		return strings.Split(v, ",")
@@ -152,13 +153,13 @@
 	return nil
 }
 
-// Floats returns a list of numbers; absent is empty.
+// Floats returns the numbers of a comma-separated list, none if it is not set.
 func (s *Values) Floats(path string) []float64 {
 	var list []float64
 	for _, text := range s.List(path) {
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil && s.err == nil {
-			s.err = bad(path, text)
+			s.err = fieldError(path, text)
 		}
 		list = append(list, v)
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"orchiddrift/settings"
 )
 
-// The same settings nested and as pairs; what is missing or odd is named.
-func Example_values() {
+// FromJSON and FromPairs give the same settings. An error names the setting that is missing or invalid.
+func Example_formats() {
 	nested, err := settings.FromJSON([]byte(`{"kinds":["bulk","small"],"family-info":{"batch-by-kind":[20,1]},
 		"tenants":[{"name":"a","quota-rps":17.0},{"name":"b"}],"guarantees":{"cold-ms":14000.0},
 		"membership-mode":"push","weight-kind":null,"flag":true}`))
@@ -38,8 +38,8 @@
 	// field boot-info cannot be "kinds"
 }
 
-// What the list tells, and how benefit falls, is one of the words that there are; the error names them.
-func Example_words() {
+// A setting with a fixed set of words rejects any other word. The error lists the valid ones.
+func Example_invalidWords() {
 	for _, pairs := range [][]string{{"over-share-worth=1", "weight-kind=heavy"}, {"weight-kind=silent", "classes.count=1", "family-info.loses-worth=steps"}} {
 		s, _ := settings.FromPairs(pairs)
 		_, err := s.NewModule(1, directory.New())
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -1,4 +1,4 @@
-// Package simwire frames and parses the simulator's wire: lines of fields, set in batches.
+// Package simwire reads the simulator's wire protocol: lines of space-separated fields, grouped into batches.
 package simwire
 
 import (
@@ -11,23 +11,23 @@
 	"strings"
 )
 
-// Absent is how the wire writes a value that is not there.
+// Absent is the text of a value that is not set.
 const Absent = "-"
 
-// Line is one line of a batch: its number in the input, its name and its values.
+// Line is one line of a batch. Number is its line number in the input, from 1.
 type Line struct {
 	Number int
 	Name   string
 	Values []string
 }
 
-// Reader reads lines and counts them.
+// Reader reads and numbers lines.
 type Reader struct {
 	in   *bufio.Reader
 	line int
 }
 
-// NewReader reads the wire from in.
+// NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<20)} }
 
 // Next returns the next line, or io.EOF after the last one.
@@ -44,7 +44,7 @@
 	return Line{Number: r.line, Name: fields[0], Values: fields[1:]}, nil
 }
 
-// RequireValues checks that the line has n values.
+// RequireValues returns an error unless the line has exactly n values.
 func (l Line) RequireValues(n int) error {
 	if len(l.Values) != n {
 		return fmt.Errorf("line %d: %s has %d values, not %d", l.Number, l.Name, len(l.Values), n)
@@ -52,12 +52,12 @@
 	return nil
 }
 
-// FieldError is the error for a field that cannot be read.
+// FieldError returns the error for a field with an invalid value.
 func (l Line) FieldError(field, value string) error {
 	return fmt.Errorf("line %d: %s: field %s cannot be %q", l.Number, l.Name, field, value)
 }
 
-// Text returns a value that must be there.
+// Text returns value i, which is required. The field name is for the error, here and in the other accessors.
 func (l Line) Text(i int, field string) (string, error) {
 	if v := l.Values[i]; v != "" && v != Absent {
 		return v, nil
@@ -65,7 +65,7 @@
 	return "", l.FieldError(field, l.Values[i])
 }
 
-// Optional returns a value, "" where it is absent.
+// Optional returns value i, or "" if it is absent.
 func (l Line) Optional(i int) string {
 	if l.Values[i] == Absent {
 		return ""
@@ -73,7 +73,7 @@
 	return l.Values[i]
 }
 
-// Number returns a finite number; absent is 0.
+// Float returns value i as a finite number, or 0 if it is absent.
 func (l Line) Float(i int, field string) (float64, error) {
 	if l.Values[i] == Absent {
 		return 0, nil
@@ -85,7 +85,7 @@
 	return v, nil
 }
 
-// Int returns a whole number; absent is 0.
+// Int returns value i as an integer, or 0 if it is absent.
 func (l Line) Int(i int, field string) (int64, error) {
 	if l.Values[i] == Absent {
 		return 0, nil
@@ -97,7 +97,7 @@
 	return v, nil
 }
 
-// Bool returns a flag, written 1 or 0.
+// Bool returns value i, which is written as 1 or 0.
 func (l Line) Bool(i int, field string) (bool, error) {
 	switch l.Values[i] {
 	case "1":
@@ -108,7 +108,8 @@
 	return false, l.FieldError(field, l.Values[i])
 }
 
-// LoadReport reads a load report: name:value pairs set apart by commas; absent is no report.
+// LoadReport parses value i as a load report of comma-separated name:value pairs. It returns nil if the value is
+// absent.
 func (l Line) LoadReport(i int, field string) (map[string]float64, error) {
 	if l.Values[i] == Absent {
 		return nil, nil
