--- a/appconfig/appconfig_test.go
+++ b/appconfig/appconfig_test.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.NewModule(1, directory.New()); err != nil || v.BatchSizes()["bulk"] != 20 || v.Text("classes.2.repeat") != "single_shot" {
+	if _, err := v.NewScheduler(1, directory.New()); err != nil || v.BatchSizes()["bulk"] != 20 || v.Text("classes.2.repeat") != "single_shot" {
 		t.Error(err, v.BatchSizes(), v.Text("classes.2.repeat"))
 	}
 }
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -12,29 +12,29 @@
 	"orchiddrift/simwire"
 )
 
-// host reads batches, calls the instances' modules and writes their answers.
+// host reads batches of events, passes them to the instances' schedulers and writes the decisions as actions.
 type host struct {
-	in        *simwire.Reader
-	out       *bufio.Writer
-	now       float64 // clock of the batch, seconds
-	lists     map[int64][]directory.Endpoint
-	instances map[int64]*instance
-	current   int64 // the instance that events are for
-	writing   int64 // the instance that actions are by
-	touched   []int64
+	in             *simwire.Reader
+	out            *bufio.Writer
+	now            float64 // time of the batch, in seconds
+	lists          map[int64][]directory.Endpoint
+	instances      map[int64]*instance
+	eventInstance  int64 // the instance that the next events are for
+	actionInstance int64 // the instance whose actions are being written
+	touched        []int64
 }
 
-// instance is one dispatcher: its module, its list, and what it has in hand.
+// instance is one dispatcher: its scheduler, its list of endpoints and the state of its notifications.
 type instance struct {
-	module *decide.Scheduler
-	dir    *directory.Directory
-	hand   map[string]decide.Notification
-	out    map[string]int // pushes without outcome
-	over   map[string]bool
-	alarm  float64 // when the next timer rings
+	scheduler     *decide.Scheduler
+	dir           *directory.Directory
+	notifications map[string]decide.Notification
+	pushesOut     map[string]int // by notification: pushes without an outcome
+	answered      map[string]bool
+	timerAt       float64 // when the timer set last fires, in seconds
 }
 
-const none = -1
+const noInstance = -1
 
 func (h *host) run() error {
 	for {
@@ -46,33 +46,33 @@
 			return err
 		}
 		if line.Name != "ROUND" {
-			return fmt.Errorf("line %d: %s where ROUND should stand", line.Number, line.Name)
+			return fmt.Errorf("line %d: got %s, want ROUND", line.Number, line.Name)
 		}
 		if err := line.RequireValues(2); err != nil {
 			return err
 		}
-		clock, err := line.Float(0, "at-time-ms")
+		nowMS, err := line.Float(0, "at-time-ms")
 		if err != nil {
 			return err
 		}
-		batch, err := line.Int(1, "round")
+		round, err := line.Int(1, "round")
 		if err != nil {
 			return err
 		}
-		h.now = clock / 1000
-		h.current, h.writing, h.touched = none, none, h.touched[:0]
-		if err := h.batch(); err != nil {
+		h.now = nowMS / 1000
+		h.eventInstance, h.actionInstance, h.touched = noInstance, noInstance, h.touched[:0]
+		if err := h.handleBatch(); err != nil {
 			return err
 		}
-		fmt.Fprintf(h.out, "END %d\n", batch)
+		fmt.Fprintf(h.out, "END %d\n", round)
 		if err := h.out.Flush(); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
 }
 
-// batch takes the events in order, then lets each instance that had one place what is due.
-func (h *host) batch() error {
+// handleBatch handles the events of a batch in order, then places what is due at each instance that had an event.
+func (h *host) handleBatch() error {
 	for {
 		line, err := h.in.Next()
 		if errors.Is(err, io.EOF) {
@@ -84,93 +84,93 @@
 		if line.Name == "EOB" {
 			break
 		}
-		if err := h.event(line); err != nil {
+		if err := h.handleEvent(line); err != nil {
 			return err
 		}
 	}
-	for _, i := range h.touched {
-		if x := h.instances[i]; x != nil {
-			h.guarded(i, func() { h.settle(i, x) })
+	for _, instanceID := range h.touched {
+		if inst := h.instances[instanceID]; inst != nil {
+			h.reportPanics(instanceID, func() { h.placeDue(instanceID, inst) })
 		}
 	}
 	return nil
 }
 
-// guarded runs decisions for an instance; a panic there is the wire's fault action.
-func (h *host) guarded(i int64, decisions func()) {
+// reportPanics runs decisions for an instance and writes a CRASH action if they panic.
+func (h *host) reportPanics(instanceID int64, decisions func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.act(i, "CRASH %v", p)
+			h.writeAction(instanceID, "CRASH %v", p)
 		}
 	}()
 	decisions()
 }
 
-// settle asks for turns until there is none now, then sets a timer for the next.
-func (h *host) settle(i int64, x *instance) {
+// placeDue places notifications as long as one is due, then sets a timer for the next unless an earlier one is set.
+func (h *host) placeDue(instanceID int64, inst *instance) {
 	for {
-		wait, id := x.module.NextTurn(h.now)
+		wait, id := inst.scheduler.NextTurn(h.now)
 		if wait <= 0 {
-			h.answer(i, x, x.module.Place(h.now, x.hand[id]))
+			h.writeDecision(instanceID, inst, inst.scheduler.Place(h.now, inst.notifications[id]))
 			continue
 		}
-		at := h.now + wait
-		if math.IsInf(wait, 1) || x.alarm > h.now && x.alarm <= at {
+		dueAt := h.now + wait
+		if math.IsInf(wait, 1) || inst.timerAt > h.now && inst.timerAt <= dueAt {
 			return
 		}
-		x.alarm = at
-		h.act(i, "AFTER %.3f wake", math.Ceil(wait*1e6)/1e3)
+		inst.timerAt = dueAt
+		h.writeAction(instanceID, "AFTER %.3f wake", math.Ceil(wait*1e6)/1e3)
 		return
 	}
 }
 
-// answer writes one answer of the module as an action.
-func (h *host) answer(i int64, x *instance, a decide.Decision) {
-	switch a.Action {
+// writeDecision writes a decision of the scheduler as an action.
+func (h *host) writeDecision(instanceID int64, inst *instance, decision decide.Decision) {
+	switch decision.Action {
 	case decide.Push:
-		x.out[a.NotificationID]++
-		h.act(i, "HAND_OFF %s %.3f %s", a.NotificationID, a.Timeout*1000, a.Endpoint)
+		inst.pushesOut[decision.NotificationID]++
+		h.writeAction(instanceID, "HAND_OFF %s %.3f %s", decision.NotificationID, decision.Timeout*1000, decision.Endpoint)
 	case decide.Throttle:
-		h.act(i, "NOT_NOW %s %.3f", a.NotificationID, a.RetryIn*1000)
-		x.heard(h.now, a.NotificationID)
+		h.writeAction(instanceID, "NOT_NOW %s %.3f", decision.NotificationID, decision.RetryIn*1000)
+		inst.confirmAnswer(h.now, decision.NotificationID)
 	case decide.Expire:
-		h.act(i, "LOSE %s", a.NotificationID)
-		x.heard(h.now, a.NotificationID)
+		h.writeAction(instanceID, "LOSE %s", decision.NotificationID)
+		inst.confirmAnswer(h.now, decision.NotificationID)
 	case decide.CancelPush:
-		h.act(i, "CALL_OFF %s %d", a.NotificationID, a.PushNumber)
+		h.writeAction(instanceID, "CALL_OFF %s %d", decision.NotificationID, decision.PushNumber)
 	case decide.ProbeEndpoint:
-		h.act(i, "INSPECT %s", a.Endpoint)
+		h.writeAction(instanceID, "INSPECT %s", decision.Endpoint)
 	case decide.WatchList:
-		h.act(i, "OBSERVE 1")
+		h.writeAction(instanceID, "OBSERVE 1")
 	case decide.FetchList:
-		h.act(i, "RESOLVE")
+		h.writeAction(instanceID, "RESOLVE")
 	case decide.CloseIdle:
-		h.act(i, "CLOSE %s", a.Endpoint)
+		h.writeAction(instanceID, "CLOSE %s", decision.Endpoint)
 	case decide.Broadcast:
-		h.act(i, "MEMO_TO -1 %x", a.Body)
+		h.writeAction(instanceID, "MEMO_TO -1 %x", decision.Body)
 	}
 }
 
-// heard tells the module that its final answer has reached the client, as it has here with the reply.
-func (x *instance) heard(now float64, id string) {
-	x.module.HandleOutcome(now, decide.Outcome{NotificationID: id, Result: decide.Withdrawn, Final: true})
-	x.finish(id)
+// confirmAnswer reports to the scheduler that the client has the final answer: it is delivered with the reply.
+func (inst *instance) confirmAnswer(now float64, id string) {
+	inst.scheduler.HandleOutcome(now, decide.Outcome{NotificationID: id, Result: decide.Withdrawn, Final: true})
+	inst.markAnswered(id)
 }
 
-// finish marks a notification answered and lets go of it once no push is out.
-func (x *instance) finish(id string) {
-	x.over[id] = true
-	if x.out[id] == 0 {
-		delete(x.hand, id)
-		delete(x.out, id)
-		delete(x.over, id)
+// markAnswered records that a notification has its final answer, and forgets the notification once no push is out.
+func (inst *instance) markAnswered(id string) {
+	inst.answered[id] = true
+	if inst.pushesOut[id] == 0 {
+		delete(inst.notifications, id)
+		delete(inst.pushesOut, id)
+		delete(inst.answered, id)
 	}
 }
 
-func (h *host) act(i int64, format string, values ...any) {
-	if h.writing != i {
-		h.writing = i
-		fmt.Fprintf(h.out, "BY %d\n", i)
+func (h *host) writeAction(instanceID int64, format string, values ...any) {
+	if h.actionInstance != instanceID {
+		h.actionInstance = instanceID
+		fmt.Fprintf(h.out, "BY %d\n", instanceID)
 	}
 	fmt.Fprintf(h.out, format+"\n", values...)
 }
--- a/cmd/simhost/host_test.go
+++ b/cmd/simhost/host_test.go
@@ -10,14 +10,14 @@
 	"orchiddrift/simwire"
 )
 
-const boot = "NEW_INSTANCE 5 azs=dc balancers=2 classes.count=1 classes.0.name=reading classes.0.repeat=free " +
+const bootLine = "NEW_INSTANCE 5 azs=dc balancers=2 classes.count=1 classes.0.name=reading classes.0.repeat=free " +
 	"classes.0.group=all classes.0.promise-ms=2000.0 classes.0.deadline-ms=9000.0 classes.0.importance=1.0 " +
 	"classes.0.late-worth=0.4 family-info.batch-by-kind=1 family-info.max-calls=4 kinds=plain " +
 	"guarantees.cold-from=0.2 guarantees.cold-ms=9000.0 guarantees.fall-ms=1500.0 guarantees.overload-factor=2.0 " +
 	"membership-mode=push policy-limits.max-attempts=8 policy-limits.most-held=50 tick-ms=5.0 weight-kind=nominal " +
 	"some.new-key=7"
 
-// play runs the host on input lines and prints its replies and its error.
+// play runs the host on the input lines and prints its replies and error.
 func play(lines ...string) {
 	out := bufio.NewWriter(os.Stdout)
 	h := &host{in: simwire.NewReader(strings.NewReader(strings.Join(lines, "\n"))), out: out,
@@ -29,17 +29,17 @@
 	}
 }
 
-// A start, a list whose number is used again, a push and its outcome; what is over already is ignored, and the
-// connection left idle is closed. A destination that no list names is refused.
-func Example_day() {
+// An instance starts, gets lists that reuse one slot, pushes a notification and closes the connection once it is idle.
+// A withdrawal after the final answer is ignored. A notification for a destination without endpoints is throttled.
+func Example_lifecycle() {
 	play("ROUND 100.0 1", "EOB",
-		"ROUND 105.0 2", "TO 3", boot, "DEFINE_LIST 0 1", "M e1 dc plain 9 ready 10.0 -", "UPDATE stale_copy 0 1",
+		"ROUND 105.0 2", "TO 3", bootLine, "DEFINE_LIST 0 1", "M e1 dc plain 9 ready 10.0 -", "UPDATE stale_copy 0 1",
 		"DEFINE_LIST 0 1", "M e1 dc plain 9 draining 10.0 -", "UPDATE patch 0 2",
 		"DEFINE_LIST 0 1", "M e2 dc plain 9 ready 10.0 -", "UPDATE patch 0 3",
 		"REQ n1 reading - - 9000.0 - 9 1", "UPDATE broken - -", "EOB",
 		"ROUND 300.0 3", "TO 3", "RESPONSE n1 1 1 - e2 0 180.5 x0:0.4,x1:1.25", "CLIENT_GONE n1", "ELAPSED wake", "EOB",
 		"ROUND 5300.0 4", "TO 3", "ELAPSED wake", "EOB",
-		"ROUND 5305.0 5", "TO 3", "REQ n2 reading - - 9000.0 - 8 1", "DOWN", boot, "EOB")
+		"ROUND 5305.0 5", "TO 3", "REQ n2 reading - - 9000.0 - 8 1", "DOWN", bootLine, "EOB")
 	// Output:
 	// END 1
 	// BY 3
@@ -56,21 +56,21 @@
 	// END 5
 }
 
-// Each kind of bad input ends with one plain line.
+// Each kind of invalid input ends the host with a one-line error.
 func Example_badInput() {
 	play("EVENT 1")
 	play("ROUND x 1")
 	play("ROUND 1 1", "TO 1", "REQ n1", "EOB")
 	play("ROUND 1 1", "TO 1", "CLIENT_GONE n1", "EOB")
 	play("ROUND 1 1", "WHAT 1", "EOB")
-	play("ROUND 1 1", "TO 1", boot, "UPDATE whole 4 1", "EOB")
-	play("ROUND 1 1", "TO 1", boot, "REQ n1 letter - - 9000.0 - 9 1", "EOB")
-	play("ROUND 1 1", "TO 1", boot, "RESPONSE n1 1 9 - e1 0 1.0 -", "EOB")
-	play("ROUND 1 1", "TO 1", strings.Replace(boot, "tick-ms=5.0", "tick-ms=soon", 1), "EOB")
-	play("ROUND 1 1", "TO 1", strings.Replace(boot, "tick-ms=5.0 ", "", 1), "EOB")
+	play("ROUND 1 1", "TO 1", bootLine, "UPDATE whole 4 1", "EOB")
+	play("ROUND 1 1", "TO 1", bootLine, "REQ n1 letter - - 9000.0 - 9 1", "EOB")
+	play("ROUND 1 1", "TO 1", bootLine, "RESPONSE n1 1 9 - e1 0 1.0 -", "EOB")
+	play("ROUND 1 1", "TO 1", strings.Replace(bootLine, "tick-ms=5.0", "tick-ms=soon", 1), "EOB")
+	play("ROUND 1 1", "TO 1", strings.Replace(bootLine, "tick-ms=5.0 ", "", 1), "EOB")
 	play("ROUND 1 1", "TO 1")
 	// Output:
-	// line 1: EVENT where ROUND should stand
+	// line 1: got EVENT, want ROUND
 	// line 1: ROUND: field at-time-ms cannot be "x"
 	// line 3: REQ has 1 values, not 8
 	// line 3: CLIENT_GONE for instance 1, which is not running
@@ -83,10 +83,10 @@
 	// input ends within a batch
 }
 
-// A panic in the decisions is reported as the wire's fault action.
-func Example_fault() {
-	h := &host{out: bufio.NewWriter(os.Stdout), writing: none}
-	h.guarded(3, func() { panic("no such turn") })
+// A panic in the scheduler is written as a CRASH action.
+func Example_panic() {
+	h := &host{out: bufio.NewWriter(os.Stdout), actionInstance: noInstance}
+	h.reportPanics(3, func() { panic("no such turn") })
 	h.out.Flush()
 	// Output:
 	// BY 3
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts many instances of the decision module on the simulator's wire.
+// Command simhost runs many schedulers in one process for a simulator, which it talks to over stdin and stdout.
 package main
 
 import (
--- a/dispatcher/config.go
+++ b/dispatcher/config.go
@@ -107,7 +107,7 @@
 const usualGrace = 0.5
 
 func (c *config) parts(dir *directory.Directory) (p parts, err error) {
-	if p.module, err = c.values.NewModule(c.seed(), dir); err == nil {
+	if p.module, err = c.values.NewScheduler(c.seed(), dir); err == nil {
 		p.apart, p.batch, p.dial, p.tick = c.values.SeparateRoutes(), c.values.BatchSizes(), c.values.Seconds("policy-limits.dial-timeout-ms"), c.values.Seconds("tick-ms")
 		p.grace = c.values.FloatOr("guarantees.stop-sending-within-ms", usualGrace*1000) / 1000
 		err = c.values.Err()
--- a/settings/module.go
+++ b/settings/module.go
@@ -7,17 +7,17 @@
 	"orchiddrift/directory"
 )
 
-// NewModule returns a decision module that is seeded with seed, reads endpoints from dir and is configured with s. It
-// returns the first setting that is missing or invalid as an error.
-func (s *Values) NewModule(seed uint64, dir *directory.Directory) (*decide.Scheduler, error) {
+// NewScheduler returns a scheduler that is seeded with seed, reads endpoints from dir and is configured with s. The
+// error names the first setting that is missing or invalid.
+func (s *Values) NewScheduler(seed uint64, dir *directory.Directory) (*decide.Scheduler, error) {
 	feeByZone := byName(s.List("azs"), s.Floats("family-info.fee-by-zone"), func(f float64) float64 { return f })
-	shares := decide.TenantQuotas{Rate: map[string]float64{}, OverQuotaBenefit: s.FloatOr("over-share-worth", 1)}
+	quotas := decide.TenantQuotas{Rate: map[string]float64{}, OverQuotaBenefit: s.FloatOr("over-share-worth", 1)}
 	for i := range int(s.FloatOr("tenants.count", 0)) {
 		prefix := fmt.Sprintf("tenants.%d.", i)
-		shares.Rate[s.Text(prefix+"name")] = s.Float(prefix + "quota-rps")
+		quotas.Rate[s.Text(prefix+"name")] = s.Float(prefix + "quota-rps")
 	}
 	weightKind := s.oneOf("weight-kind", "", "silent", "nominal", "rough", "live")
-	m := decide.New(seed, dir, s.topics(),
+	scheduler := decide.New(seed, dir, s.topics(),
 		decide.Capacity{MaxCalls: s.Int("family-info.max-calls"), MaxHeld: s.Int("policy-limits.most-held"), BatchSize: s.BatchSizes()},
 		decide.Routes{SeparateByKind: s.SeparateRoutes(), FeeByZone: feeByZone, FreeRefusals: s.FloatOr("family-info.refusal-cost", 1) == 0},
 		decide.Recovery{InitialCapacity: s.Float("guarantees.cold-from"), WarmUp: s.Seconds("guarantees.cold-ms"),
@@ -26,8 +26,8 @@
 		decide.PushPolicy{MaxPushes: s.Int("policy-limits.max-attempts"),
 			KeyCooldown: s.FloatOr("guarantees.turn-gap-ms", 0) / 1000, Tick: s.Seconds("tick-ms"),
 			IdleTimeout: s.FloatOr("policy-limits.idle-close-ms", 0) / 1000},
-		shares, s.ListOnDemand())
-	return m, s.err
+		quotas, s.ListOnDemand())
+	return scheduler, s.err
 }
 
 // SeparateRoutes reports for each kind whether the endpoints of a destination are separate routes.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings parses the platform's settings of a dispatcher and builds its decision module from them.
+// Package settings parses the platform's settings of a dispatcher and builds its scheduler from them.
 package settings
 
 import (
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -20,7 +20,7 @@
 	for _, s := range []*settings.Values{nested, pairs} {
 		fmt.Println(s.BatchSizes(), s.ListOnDemand(), s.Int("tenants.count"), s.Text("tenants.1.name"), s.Bool("flag"),
 			s.Float("tenants.0.quota-rps"), s.Seconds("guarantees.cold-ms"), s.Err())
-		_, err := s.NewModule(1, directory.New())
+		_, err := s.NewScheduler(1, directory.New())
 		fmt.Println(err)
 	}
 	_, err = settings.FromJSON([]byte(`{"kinds":`))
@@ -42,7 +42,7 @@
 func Example_invalidWords() {
 	for _, pairs := range [][]string{{"over-share-worth=1", "weight-kind=heavy"}, {"weight-kind=silent", "classes.count=1", "family-info.loses-worth=steps"}} {
 		s, _ := settings.FromPairs(pairs)
-		_, err := s.NewModule(1, directory.New())
+		_, err := s.NewScheduler(1, directory.New())
 		fmt.Println(err)
 	}
 	// Output:
