--- a/cmd/orchiddrift/main_test.go
+++ b/cmd/orchiddrift/main_test.go
@@ -240,7 +240,7 @@
 	w.hand("a2", "order", "hang up")
 	other.next()
 	w.end(syscall.SIGTERM)
-	fmt.Println(strings.Count(w.log.String(), "configuration not taken"), strings.Count(w.log.String(), `"moved":true`))
+	fmt.Println(strings.Count(w.log.String(), "configuration not reloaded"), strings.Count(w.log.String(), `"moved":true`))
 	// Output:
 	// ready
 	// a1 202 false
--- a/dispatcher/child_test.go
+++ b/dispatcher/child_test.go
@@ -21,14 +21,15 @@
 	"orchiddrift/dispatcher"
 )
 
-// asChild makes this test program a dispatcher, with so many descriptors.
-const asChild = "ORCHIDDRIFT_TEST_DESCRIPTORS"
+// childDescriptorsVar is the environment variable that makes the test binary run as a dispatcher. Its value is the
+// RLIMIT_NOFILE of that process.
+const childDescriptorsVar = "ORCHIDDRIFT_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
-	if n := os.Getenv(asChild); n != "" {
-		var most uint64
-		fmt.Sscan(n, &most)
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+	if n := os.Getenv(childDescriptorsVar); n != "" {
+		var limit uint64
+		fmt.Sscan(n, &limit)
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 			panic(err)
 		}
 		if err := dispatcher.Run(os.Getenv, dispatcher.LogOptions{Output: os.Stderr, Level: zerolog.InfoLevel}); err != nil {
@@ -40,11 +41,11 @@
 	os.Exit(m.Run())
 }
 
-// child runs a dispatcher in a process of its own, and gives a function that asks for its end and waits for it.
-func (d *node) child(t *testing.T, descriptors int) (*os.Process, func() error) {
+// startChild runs a dispatcher in a child process. The returned function sends it SIGTERM and waits for its exit.
+func (d *testDispatcher) startChild(t *testing.T, descriptors int) (*os.Process, func() error) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), fmt.Sprint(asChild, "=", descriptors))
+	cmd.Env = append(os.Environ(), fmt.Sprint(childDescriptorsVar, "=", descriptors))
 	for name, value := range d.env {
 		cmd.Env = append(cmd.Env, name+"="+value)
 	}
@@ -53,8 +54,8 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
 	t.Cleanup(func() {
 		_ = cmd.Process.Kill()
 		if t.Failed() {
@@ -64,15 +65,15 @@
 	return cmd.Process, func() error {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			return err
 		case <-time.After(8 * time.Second):
-			return fmt.Errorf("it did not end")
+			return fmt.Errorf("dispatcher did not exit in time")
 		}
 	}
 }
 
-func (d *node) ready() bool {
+func (d *testDispatcher) ready() bool {
 	conn, err := net.DialTimeout("tcp", d.addr, time.Second)
 	if err != nil {
 		return false
@@ -84,17 +85,18 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// partnerList is one endpoint at an address, as discovery tells it.
+// partnerList returns a discovery list with one endpoint.
 func partnerList(id, addr, state string) []map[string]any {
 	return []map[string]any{{"id": id, "addr": strings.TrimPrefix(addr, "http://"), "zone": "here", "kind": "plain", "cell": 1,
 		"state": state, "weight": 10.0, "started_ms": 0}}
 }
 
-// Idle clients fill the descriptors that the system gives, fewer than configured, while discovery is down. The process goes
-// on; once discovery is back it hears of the change, takes a notification on, and pushes it to the endpoint listed then.
-func TestDescriptorsFilled(t *testing.T) {
-	got := make(chan string, 9)
-	partner := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got <- r.Header.Get("X-Call-Id") }))
+// Idle clients exhaust the file descriptors, of which the system allows fewer than configured, while discovery is down.
+// The dispatcher keeps running: once discovery is back it gets the new list, accepts a notification and pushes it to the
+// newly listed endpoint.
+func TestDescriptorsExhausted(t *testing.T) {
+	delivered := make(chan string, 9)
+	partner := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { delivered <- r.Header.Get("X-Call-Id") }))
 	defer partner.Close()
 	var up atomic.Bool
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -111,10 +113,10 @@
 	defer agent.CloseClientConnections()
 	d := configure(t, agent.URL, partnerList("s-1", "127.0.0.1:1", "ready"), func(map[string]any) {})
 	const descriptors = 64
-	_, end := d.child(t, descriptors)
-	within(t, "ready", d.ready)
+	_, stopChild := d.startChild(t, descriptors)
+	eventually(t, "ready", d.ready)
 	idle := make([]net.Conn, 2*descriptors)
-	for round := range 3 { // those that make room for others are dialled again
+	for round := range 3 { // connections that the dispatcher closed to make room are dialled again
 		for i := range idle {
 			if conn, err := net.DialTimeout("tcp", d.addr, time.Second); err == nil {
 				if round%2 == 0 {
@@ -126,41 +128,42 @@
 		}
 	}
 	up.Store(true)
-	begun := time.Now()
-	within(t, "taken on", func() bool { return d.handIn("a1", 1) })
+	startedAt := time.Now()
+	eventually(t, "accepted", func() bool { return d.submit("a1", 1) })
 	select {
-	case id := <-got:
+	case id := <-delivered:
 		if id != "a1" {
 			t.Error(id)
 		}
-	case <-time.After(6*time.Second - time.Since(begun)):
-		t.Error("not pushed to the endpoint listed since 6 s")
+	case <-time.After(6*time.Second - time.Since(startedAt)):
+		t.Error("not pushed to the new endpoint within 6 s of its listing")
 	}
-	if err := end(); err != nil {
+	if err := stopChild(); err != nil {
 		t.Error(err)
 	}
 }
 
-// SIGHUP comes while the process still reads its configuration, held by a pipe until the signal has come. It ends nothing:
-// the configuration is read again once the dispatcher runs, and discovery has moved.
-func TestReloadAtStart(t *testing.T) {
-	asked := make(chan struct{}, 99)
-	agent := func(note func()) *httptest.Server {
+// A SIGHUP arrives while the process still reads its configuration, from a pipe that blocks until the signal was sent.
+// The signal does not terminate the process: the configuration is read again once the dispatcher runs, and the new
+// discovery address is used.
+func TestReloadDuringStart(t *testing.T) {
+	requested := make(chan struct{}, 99)
+	agent := func(onRequest func()) *httptest.Server {
 		return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			note()
+			onRequest()
 			if r.URL.RawQuery != "" {
-				<-r.Context().Done() // nothing changes
+				<-r.Context().Done() // the list does not change
 				return
 			}
 			_ = json.NewEncoder(w).Encode(map[string]any{"version": 1, "full": true, "servers": []any{}})
 		}))
 	}
-	before, after := agent(func() {}), agent(func() { asked <- struct{}{} })
+	before, after := agent(func() {}), agent(func() { requested <- struct{}{} })
 	defer before.CloseClientConnections()
 	defer after.CloseClientConnections()
 	d := configure(t, before.URL, nil, func(map[string]any) {})
 	path := d.env["ROUTER_CONFIG"]
-	first, err := os.ReadFile(path)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,46 +171,47 @@
 	if err := syscall.Mkfifo(path+".pipe", 0o600); err != nil {
 		t.Fatal(err)
 	}
-	write := func(text []byte, held func()) {
+	write := func(text []byte, beforeWrite func()) {
 		f, err := os.OpenFile(path+".pipe", os.O_WRONLY, 0) // returns once the process has it open
 		if err != nil {
 			t.Fatal(err)
 		}
-		held()
+		beforeWrite()
 		_, _ = f.Write(text)
 		_ = f.Close()
 	}
-	process, end := d.child(t, 256)
-	write(first, func() {
+	process, stopChild := d.startChild(t, 256)
+	write(original, func() {
 		if err := process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // by then it has come, whoever gets it
+		time.Sleep(50 * time.Millisecond) // the signal is delivered by then
 	})
-	within(t, "ready", d.ready) // it has read that to its end; else it would read on in what comes next
+	eventually(t, "ready", d.ready) // the first read has ended; otherwise it would continue into the second write
 	done := make(chan struct{})
 	go func() {
-		write([]byte(strings.ReplaceAll(string(first), strings.TrimPrefix(before.URL, "http://"), strings.TrimPrefix(after.URL, "http://"))), func() {})
+		write([]byte(strings.ReplaceAll(string(original), strings.TrimPrefix(before.URL, "http://"), strings.TrimPrefix(after.URL, "http://"))), func() {})
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the configuration was not read again")
+		t.Fatal("configuration not read again within 5 s")
 	}
 	select {
-	case <-asked:
+	case <-requested:
 	case <-time.After(5 * time.Second):
-		t.Error("discovery has not moved")
+		t.Error("the discovery address has not changed")
 	}
-	if err := end(); err != nil {
+	if err := stopChild(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Ready waits for nothing but the folder: with an agent that accepts and never answers and thousands owed it serves at once.
-func TestReadyAlone(t *testing.T) {
-	agent, err := net.Listen("tcp", "127.0.0.1:0") // the backlog accepts, and nobody reads
+// Readiness depends on nothing but the folder: a dispatcher with many pending notifications and an agent that accepts
+// connections but never answers becomes ready without waiting for either.
+func TestReadyWithoutDiscovery(t *testing.T) {
+	agent, err := net.Listen("tcp", "127.0.0.1:0") // connections are accepted by the backlog and never read
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,25 +220,25 @@
 		config["settings"].(map[string]any)["policy-limits"].(map[string]any)["most-held"] = 4000
 		config["limits"].(map[string]any)["disk_mb"] = 30
 	})
-	_, end := d.child(t, 256)
-	within(t, "ready", d.ready)
-	taken := 0
+	_, stopChild := d.startChild(t, 256)
+	eventually(t, "ready", d.ready)
+	accepted := 0
 	for i := range 1000 {
-		if d.handIn(fmt.Sprint("m", i), 1) {
-			taken++
+		if d.submit(fmt.Sprint("m", i), 1) {
+			accepted++
 		}
 	}
-	if taken < 500 {
-		t.Fatalf("only %d taken on", taken)
+	if accepted < 500 {
+		t.Fatalf("only %d accepted", accepted)
 	}
-	if err := end(); err != nil {
+	if err := stopChild(); err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
-	_, end = d.child(t, 256)
-	within(t, "ready again", d.ready)
-	t.Logf("%d owed, ready after %v", taken, time.Since(begun))
-	if err := end(); err != nil {
+	startedAt := time.Now()
+	_, stopChild = d.startChild(t, 256)
+	eventually(t, "ready again", d.ready)
+	t.Logf("%d pending, ready after %v", accepted, time.Since(startedAt))
+	if err := stopChild(); err != nil {
 		t.Error(err)
 	}
 }
--- a/dispatcher/config.go
+++ b/dispatcher/config.go
@@ -13,7 +13,7 @@
 	"orchiddrift/settings"
 )
 
-// config is what the dispatcher is told at its start.
+// config is the dispatcher's configuration: the file that ROUTER_CONFIG names and the other ROUTER_ variables.
 type config struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -29,7 +29,7 @@
 	values *settings.Values
 }
 
-// limits are the machine's.
+// limits are the resources that the process may use.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -37,17 +37,17 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// When the ledger's records are synced to the disk: never, as suits a folder that outlives the process by itself; once for
-// all events taken in together; or for each event.
+// Values of ledger.sync: when ledger records are synced to disk. syncNone never syncs, for a folder that outlives the
+// process without it; syncBatch syncs once for all events handled together; syncAlways syncs for each event.
 const (
 	syncNone   = "none"
 	syncBatch  = "batch"
 	syncAlways = "always"
 )
 
-// load reads the file that ROUTER_CONFIG names; what stands in the other variables goes before it. Discovery alone
-// is the file's where it names one: the file may be replaced while the program runs, and its variables stay.
-func load(system System) (*config, error) {
+// loadConfig reads the file that ROUTER_CONFIG names. The other ROUTER_ variables take precedence over the file, except
+// for the discovery address: a reload has to be able to change it, and a process's variables stay the same.
+func loadConfig(system System) (*config, error) {
 	path := system.Getenv("ROUTER_CONFIG")
 	if path == "" {
 		return nil, errors.New("ROUTER_CONFIG is not set")
@@ -56,64 +56,64 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &config{Limits: limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 3}}
-	if err := json.Unmarshal(text, c); err != nil {
+	cfg := &config{Limits: limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 3}}
+	if err := json.Unmarshal(text, cfg); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for name, field := range map[string]*string{"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen,
-		"ROUTER_DISCOVERY": &c.Discovery, "ROUTER_STATE": &c.state} {
-		if v := system.Getenv(name); v != "" && (*field == "" || field != &c.Discovery) {
+	for name, field := range map[string]*string{"ROUTER_NAME": &cfg.Name, "ROUTER_LISTEN": &cfg.Listen,
+		"ROUTER_DISCOVERY": &cfg.Discovery, "ROUTER_STATE": &cfg.state} {
+		if v := system.Getenv(name); v != "" && (*field == "" || field != &cfg.Discovery) {
 			*field = v
 		}
 		if *field == "" {
 			return nil, fmt.Errorf("%s is not set", name)
 		}
 	}
-	if l := c.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets < 16 || l.DiskMB <= 0 {
+	if l := cfg.Limits; l.Cores <= 0 || l.MemoryMB <= 0 || l.Sockets < 16 || l.DiskMB <= 0 {
 		return nil, fmt.Errorf("%s: limits cannot be %+v", path, l)
 	}
-	if sync := c.Ledger.Sync; sync != "" && sync != syncNone && sync != syncBatch && sync != syncAlways {
+	if sync := cfg.Ledger.Sync; sync != "" && sync != syncNone && sync != syncBatch && sync != syncAlways {
 		return nil, fmt.Errorf("%s: ledger.sync cannot be %q: use none, batch or always", path, sync)
 	}
-	if len(c.Settings) == 0 {
+	if len(cfg.Settings) == 0 {
 		return nil, fmt.Errorf("%s: settings are missing", path)
 	}
-	if c.values, err = settings.FromJSON(c.Settings); err != nil {
+	if cfg.values, err = settings.FromJSON(cfg.Settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// seed reads the seed: hex digits as a rule, any text else.
+// seed returns the seed: the value of up to 16 hex digits, or a hash of any other text.
 func (c *config) seed() uint64 {
 	if v, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return v
 	}
-	h := fnv.New64a()
-	h.Write([]byte(c.Seed))
-	return h.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(c.Seed))
+	return hash.Sum64()
 }
 
-// parts are what the settings give.
-type parts struct {
-	module     *decide.Scheduler
-	apart      map[string]bool
-	batch      map[string]int
-	dial, tick float64
-	grace      float64 // a call may go so long to an endpoint that was told to be leaving
+// components is what the settings configure. Times are in seconds.
+type components struct {
+	scheduler         *decide.Scheduler
+	separateRoutes    map[string]bool
+	batchSizes        map[string]int
+	dialTimeout, tick float64
+	drainGrace        float64 // calls may start for this long after the endpoint is listed as leaving
 }
 
-// usualGrace is the grace in seconds where the settings give none.
-const usualGrace = 0.5
+// defaultDrainGrace is the drain grace in seconds if the settings have none.
+const defaultDrainGrace = 0.5
 
-func (c *config) parts(dir *directory.Directory) (p parts, err error) {
-	if p.module, err = c.values.NewScheduler(c.seed(), dir); err == nil {
-		p.apart, p.batch, p.dial, p.tick = c.values.SeparateRoutes(), c.values.BatchSizes(), c.values.Seconds("policy-limits.dial-timeout-ms"), c.values.Seconds("tick-ms")
-		p.grace = c.values.FloatOr("guarantees.stop-sending-within-ms", usualGrace*1000) / 1000
+func (c *config) build(dir *directory.Directory) (parts components, err error) {
+	if parts.scheduler, err = c.values.NewScheduler(c.seed(), dir); err == nil {
+		parts.separateRoutes, parts.batchSizes, parts.dialTimeout, parts.tick = c.values.SeparateRoutes(), c.values.BatchSizes(), c.values.Seconds("policy-limits.dial-timeout-ms"), c.values.Seconds("tick-ms")
+		parts.drainGrace = c.values.FloatOr("guarantees.stop-sending-within-ms", defaultDrainGrace*1000) / 1000
 		err = c.values.Err()
 	}
 	if err != nil {
 		err = fmt.Errorf("settings: %w", err)
 	}
-	return p, err
+	return parts, err
 }
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatcher wires a dispatcher from its configuration and runs it: it takes notifications from clients and
-// pushes them to their partners' endpoints.
+// Package dispatcher assembles a dispatcher from its configuration and runs it. A dispatcher accepts notifications from
+// clients and pushes them to partners' endpoints.
 package dispatcher
 
 import (
@@ -24,97 +24,99 @@
 	"orchiddrift/push"
 )
 
-// A planned stop, counted from SIGTERM: clients are taken in until the first moment, pushes start until the
-// second, and those out may end until the third.
+// Phases of a graceful stop, counted from SIGTERM: clients are accepted until stopIntakeAfter, pushes start until
+// stopPushesAfter, and pushes that are still out may end until exitAfter.
 const (
-	clientsUntil = 500 * time.Millisecond
-	startsUntil  = 2200 * time.Millisecond
-	endsUntil    = 3400 * time.Millisecond
+	stopIntakeAfter = 500 * time.Millisecond
+	stopPushesAfter = 2200 * time.Millisecond
+	exitAfter       = 3400 * time.Millisecond
 )
 
-// firstWord is how long after the start a push waits for discovery's first word.
-const firstWord = 500 * time.Millisecond
+// firstListTimeout is how long after the start pushes wait for the first list from discovery.
+const firstListTimeout = 500 * time.Millisecond
 
-// events is how many events may wait for the gateway's loop.
-const events = 1024
+// eventQueueSize is the maximum number of events queued for the gateway's loop.
+const eventQueueSize = 1024
 
-// Run serves on this machine until SIGTERM, SIGINT or an error; getenv gives the ROUTER_ variables, and the log goes to
-// logs as told by its format and level.
-func Run(getenv func(string) string, logs LogOptions) error { return RunOn(HostSystem(getenv), logs) }
-
-// RunOn serves on a system until SIGTERM, SIGINT or an error.
-func RunOn(system System, logs LogOptions) error {
-	// Before all else: until then SIGHUP, which may come as soon as the process is there, would end it. A configuration
-	// read before one came is read again.
-	stops, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
-	defer signal.Stop(stops)
-	signal.Notify(reloads, syscall.SIGHUP)
-	defer signal.Stop(reloads)
-
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more ends no process
-	start := &starter{stops: stops, log: logs.logger().With().Timestamp().Logger(), begun: time.Now()}
+// Run runs a dispatcher on the host until SIGTERM, SIGINT or an error. It reads the ROUTER_ variables with getenv and
+// logs as logOptions say.
+func Run(getenv func(string) string, logOptions LogOptions) error {
+	return RunOn(HostSystem(getenv), logOptions)
+}
 
-	var c *config
-	err := start.try("configuration", func() (err error) { c, err = load(system); return err })
+// RunOn runs a dispatcher on a system until SIGTERM, SIGINT or an error. It returns nil after a stop by a signal.
+func RunOn(system System, logOptions LogOptions) error {
+	// Signals are handled before anything else: a SIGHUP may arrive as soon as the process exists and would terminate it.
+	// One that arrives during the start reloads the configuration afterwards.
+	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	defer signal.Stop(stopSignals)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	defer signal.Stop(reloadSignals)
+
+	signal.Ignore(syscall.SIGPIPE) // otherwise a closed log pipe terminates the process
+	start := &starter{stopSignals: stopSignals, log: logOptions.logger().With().Timestamp().Logger(), startedAt: time.Now()}
+
+	var cfg *config
+	err := start.retry("configuration", func() (err error) { cfg, err = loadConfig(system); return err })
 	if err != nil {
-		return ended(err)
+		return ignoreStopped(err)
 	}
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
-	debug.SetMemoryLimit(int64(c.Limits.MemoryMB * 1e6 / 2))
-	log := logs.logger().With().Timestamp().Str("dispatcher", c.Name).Logger()
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
+	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * 1e6 / 2))
+	log := logOptions.logger().With().Timestamp().Str("dispatcher", cfg.Name).Logger()
 
 	dir := directory.New()
-	p, err := c.parts(dir)
+	parts, err := cfg.build(dir)
 	if err != nil {
 		return err
 	}
-	start.tell(log)
-	dir.Replace(c.Known.Endpoints())
-	var kept *kept
-	if err := start.try("folder", func() (err error) { kept, err = openKept(system, c, log); return err }); err != nil {
-		return ended(err)
+	start.enableLog(log)
+	dir.Replace(cfg.Known.Endpoints())
+	var state *persistentState
+	if err := start.retry("folder", func() (err error) { state, err = openState(system, cfg, log); return err }); err != nil {
+		return ignoreStopped(err)
 	}
-	defer kept.folder.Close()
+	defer state.folder.Close()
 
-	agent := platform.NewAgent(c.Discovery, c.Known.Version, log)
-	r := &gateway.Runner{Gateway: gateway.New(p.module, dir, kept.ledger.HasRoom, p.apart, p.batch, p.dial), Ledger: kept.ledger,
-		Platform: agent, Clock: kept.clock, Tick: p.tick, Log: log, Events: make(chan gateway.Event, events),
-		WritePerEvent: c.Ledger.Sync == syncAlways, Dialer: push.Dialer(system.Dial), Metrics: gateway.NewMetrics()}
+	agent := platform.NewAgent(cfg.Discovery, cfg.Known.Version, log)
+	runner := &gateway.Runner{Gateway: gateway.New(parts.scheduler, dir, state.ledger.HasRoom, parts.separateRoutes, parts.batchSizes, parts.dialTimeout), Ledger: state.ledger,
+		Platform: agent, Clock: state.clock, Tick: parts.tick, Log: log, Events: make(chan gateway.Event, eventQueueSize),
+		WritePerEvent: cfg.Ledger.Sync == syncAlways, Dialer: push.Dialer(system.Dial), Metrics: gateway.NewMetrics()}
 	invariants := &invariant.Counters{Log: log, Strict: system.PanicOnViolation}
-	listBy := kept.clock() + firstWord.Seconds()
-	r.Gateway.SetSendChecker(invariant.NewSendChecker(invariants, invariant.Margins{DrainGrace: p.grace, KeyHold: p.module.KeyCooldown()}, listBy))
-	log.Info().Int("owed", len(kept.owed)).Int("taken_over", kept.found.Migrated).Int("listed", len(c.Known.Servers)).Msg("start")
-	r.Gateway.AdvanceCallID(kept.ledger.LastCallNumber())
-	r.Gateway.AwaitFirstList(listBy)
-	r.Restore(kept.owed)
+	firstListBy := state.clock() + firstListTimeout.Seconds()
+	runner.Gateway.SetSendChecker(invariant.NewSendChecker(invariants, invariant.Margins{DrainGrace: parts.drainGrace, KeyHold: parts.scheduler.KeyCooldown()}, firstListBy))
+	log.Info().Int("owed", len(state.pending)).Int("taken_over", state.report.Migrated).Int("listed", len(cfg.Known.Servers)).Msg("starting dispatcher")
+	runner.Gateway.AdvanceCallID(state.ledger.LastCallNumber())
+	runner.Gateway.AwaitFirstList(firstListBy)
+	runner.Restore(state.pending)
 	go agent.SendNotices()
-	if !c.values.ListOnDemand() {
-		agent.WatchForever(r.Post)
+	if !cfg.values.ListOnDemand() {
+		agent.WatchForever(runner.Post)
 	}
-	go follow(reloads, system, c, agent, log)
-	ln, err := system.Listen(c.Listen)
-	if err != nil && !passes(err) {
+	go watchReloads(reloadSignals, system, cfg, agent, log)
+	ln, err := system.Listen(cfg.Listen)
+	if err != nil && !isTransient(err) {
 		return err
 	}
 	if err == nil {
-		start.done("listener")
+		start.recordStep("listener")
 	}
-	server := intake.NewServer(kept.clock, p.module.TTL, r.Post, descriptors(c.Limits.Sockets)/2, log)
-	server.SetMetrics(invariants, r.Metrics.Write)
-	over, failed := make(chan struct{}), make(chan error, 1)
-	end := sync.OnceFunc(func() { close(over) })
+	server := intake.NewServer(state.clock, parts.scheduler.TTL, runner.Post, descriptorLimit(cfg.Limits.Sockets)/2, log)
+	server.SetMetrics(invariants, runner.Metrics.Write)
+	done, failed := make(chan struct{}), make(chan error, 1)
+	stopLoop := sync.OnceFunc(func() { close(done) })
 	fail := func(err error) {
 		failed <- err
-		end()
+		stopLoop()
 	}
 	go func() {
-		// What is owed since before goes on meanwhile: an address may be had only after seconds.
+		// The address may become available only after seconds. Pending notifications are pushed in the meantime.
 		if ln == nil {
-			err = start.try("listener", func() (err error) { ln, err = system.Listen(c.Listen); return err })
+			err = start.retry("listener", func() (err error) { ln, err = system.Listen(cfg.Listen); return err })
 		}
 		switch {
-		case errors.Is(err, errStopped):
+		case errors.Is(err, errStoppedDuringStart):
 		case err != nil:
 			fail(err)
 			return
@@ -124,13 +126,13 @@
 					fail(err)
 				}
 			}()
-			<-stops
+			<-stopSignals
 		}
-		log.Info().Msg("stopping")
-		stop(server, r, end)
+		log.Info().Msg("graceful stop begins")
+		stop(server, runner, stopLoop)
 	}()
-	r.Run(over)
-	log.Info().Int("held", r.Gateway.Pending()).Msg("end")
+	runner.Run(done)
+	log.Info().Int("held", runner.Gateway.Pending()).Msg("dispatcher stopped")
 	select {
 	case err := <-failed:
 		return err
@@ -139,73 +141,75 @@
 	}
 }
 
-// ended is the error of a start that did not come to its end: none where it was told to end.
-func ended(err error) error {
-	if errors.Is(err, errStopped) {
+// ignoreStopped returns err, or nil if the start was interrupted by a stop signal.
+func ignoreStopped(err error) error {
+	if errors.Is(err, errStoppedDuringStart) {
 		return nil
 	}
 	return err
 }
 
-// stop carries out a planned stop.
-func stop(server *intake.Server, r *gateway.Runner, end func()) {
-	begun := time.Now()
+// stop carries out a graceful stop.
+func stop(server *intake.Server, runner *gateway.Runner, stopLoop func()) {
+	startedAt := time.Now()
 	server.DisableKeepAlives()
-	time.Sleep(clientsUntil - time.Since(begun))
+	time.Sleep(stopIntakeAfter - time.Since(startedAt))
 	go func() {
-		_ = server.Close() // it waits for those that are still answered
-		r.Post(gateway.IntakeClosed{})
+		_ = server.Close() // waits for requests that are still being answered
+		runner.Post(gateway.IntakeClosed{})
 	}()
-	time.Sleep(startsUntil - time.Since(begun))
-	r.Post(gateway.PushesStopped{})
-	time.Sleep(endsUntil - time.Since(begun))
-	end()
+	time.Sleep(stopPushesAfter - time.Since(startedAt))
+	runner.Post(gateway.PushesStopped{})
+	time.Sleep(exitAfter - time.Since(startedAt))
+	stopLoop()
 }
 
-// A configuration that cannot be read, or is half written, is read again for reloadFor, or until the next SIGHUP.
+// A configuration that cannot be read or is incomplete is read again every reloadRetryInterval until reloadRetryFor has
+// passed or the next SIGHUP arrives.
 const (
-	reloadFor   = 3 * time.Second
-	reloadPause = 100 * time.Millisecond
+	reloadRetryFor      = 3 * time.Second
+	reloadRetryInterval = 100 * time.Millisecond
 )
 
-// follow takes in the configuration again with each SIGHUP. A bad one changes nothing.
-func follow(reloads <-chan os.Signal, system System, old *config, agent *platform.Agent, log zerolog.Logger) {
-	for range reloads {
-		begun := time.Now()
+// watchReloads reloads the configuration on each SIGHUP. An invalid configuration changes nothing.
+func watchReloads(signals <-chan os.Signal, system System, old *config, agent *platform.Agent, log zerolog.Logger) {
+	for range signals {
+		startedAt := time.Now()
 		err := reload(system, old, agent, log)
 		if err != nil {
-			log.Error().Err(err).Dur("again_for", reloadFor).Msg("configuration not taken: the old one stays")
+			log.Error().Err(err).Dur("again_for", reloadRetryFor).Msg("configuration not reloaded; keeping the current one")
 		}
-		for err != nil && time.Since(begun) < reloadFor && len(reloads) == 0 {
-			time.Sleep(reloadPause)
+		for err != nil && time.Since(startedAt) < reloadRetryFor && len(signals) == 0 {
+			time.Sleep(reloadRetryInterval)
 			err = reload(system, old, agent, log)
 		}
 	}
 }
 
-// reload takes in the configuration again. Discovery may have moved; for anything else the program has to be started anew.
+// reload reads the configuration again and applies the discovery address. All other changes need a restart.
 func reload(system System, old *config, agent *platform.Agent, log zerolog.Logger) error {
-	c, err := load(system)
+	cfg, err := loadConfig(system)
 	if err != nil {
 		return err
 	}
-	if _, err := c.parts(directory.New()); err != nil {
+	if _, err := cfg.build(directory.New()); err != nil {
 		return err
 	}
-	moved := agent.SetAddr(c.Discovery)
-	log.Info().Str("discovery", c.Discovery).Bool("moved", moved).Msg("configuration taken")
-	if c.Name != old.Name || c.Listen != old.Listen || c.state != old.state || c.Limits != old.Limits || c.Ledger != old.Ledger ||
-		!bytes.Equal(c.Settings, old.Settings) {
-		log.Warn().Msg("configuration changed beyond discovery: that needs a restart")
+	moved := agent.SetAddr(cfg.Discovery)
+	log.Info().Str("discovery", cfg.Discovery).Bool("moved", moved).Msg("configuration reloaded")
+	if cfg.Name != old.Name || cfg.Listen != old.Listen || cfg.state != old.state || cfg.Limits != old.Limits || cfg.Ledger != old.Ledger ||
+		!bytes.Equal(cfg.Settings, old.Settings) {
+		log.Warn().Msg("configuration changes other than discovery need a restart")
 	}
 	return nil
 }
 
-// descriptors are as many as the process may hold: what the configuration says, or less where the system gives less.
-func descriptors(most int) int {
-	var l syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) != nil || l.Cur > uint64(most) {
-		return most
+// descriptorLimit returns the number of file descriptors that the process may hold: the configured one, or the
+// RLIMIT_NOFILE soft limit if that is lower.
+func descriptorLimit(configured int) int {
+	var rlimit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit) != nil || rlimit.Cur > uint64(configured) {
+		return configured
 	}
-	return int(l.Cur)
+	return int(rlimit.Cur)
 }
--- a/dispatcher/machine_test.go
+++ b/dispatcher/machine_test.go
@@ -17,21 +17,21 @@
 	"orchiddrift/dispatcher"
 )
 
-// world is a partner and an agent for a dispatcher whose machine the test hands in.
-type world struct {
-	*node
-	hangs   atomic.Bool
-	pushed  chan string // X-Budget of each call
-	noticed chan string
+// environment is a partner and an agent for a dispatcher that runs on a System of the test's choice.
+type environment struct {
+	*testDispatcher
+	partnerHangs atomic.Bool
+	pushed       chan string // X-Budget of each call
+	notices      chan string
 }
 
-func newWorld(t *testing.T) *world {
+func newEnvironment(t *testing.T) *environment {
 	t.Helper()
-	w := &world{pushed: make(chan string, 99), noticed: make(chan string, 99)}
+	w := &environment{pushed: make(chan string, 99), notices: make(chan string, 99)}
 	partner := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.pushed <- r.Header.Get("X-Budget")
-		if w.hangs.Load() {
+		if w.partnerHangs.Load() {
 			<-r.Context().Done()
 		}
 	}))
@@ -40,56 +40,56 @@
 		body, _ := io.ReadAll(r.Body)
 		switch {
 		case r.Method == http.MethodPost:
-			w.noticed <- string(body)
+			w.notices <- string(body)
 			rw.WriteHeader(http.StatusNoContent)
 		case r.URL.RawQuery != "":
-			<-r.Context().Done() // nothing changes
+			<-r.Context().Done() // the list does not change
 		default:
 			_ = json.NewEncoder(rw).Encode(map[string]any{"version": 1, "full": true, "servers": partnerList("s-1", partner.URL, "ready")})
 		}
 	}))
 	t.Cleanup(func() { agent.CloseClientConnections() })
-	w.node = configure(t, agent.URL, partnerList("s-1", partner.URL, "ready"), func(map[string]any) {})
+	w.testDispatcher = configure(t, agent.URL, partnerList("s-1", partner.URL, "ready"), func(map[string]any) {})
 	return w
 }
 
-// machine is this machine with the world's variables.
-func (w *world) machine() dispatcher.System {
+// system returns the host's System with the environment's variables.
+func (w *environment) system() dispatcher.System {
 	return dispatcher.HostSystem(func(name string) string { return w.env[name] })
 }
 
-// startOn runs the dispatcher on a system until it serves.
-func (w *world) startOn(t *testing.T, system dispatcher.System) {
+// startOn launches the dispatcher on a system and waits until it is ready.
+func (w *environment) startOn(t *testing.T, system dispatcher.System) {
 	t.Helper()
 	w.launch(system)
-	within(t, "ready", w.ready)
+	eventually(t, "ready", w.ready)
 }
 
-// launch runs the dispatcher on a system.
-func (w *world) launch(system dispatcher.System) {
-	w.ended = make(chan error, 1)
-	go func() { w.ended <- dispatcher.RunOn(system, dispatcher.LogOptions{}) }()
+// launch runs the dispatcher on a system in the background.
+func (w *environment) launch(system dispatcher.System) {
+	w.exited = make(chan error, 1)
+	go func() { w.exited <- dispatcher.RunOn(system, dispatcher.LogOptions{}) }()
 }
 
-func (w *world) stop(t *testing.T) {
+func (w *environment) stop(t *testing.T) {
 	t.Helper()
 	w.signal(t, syscall.SIGTERM)
-	w.ends(t)
+	w.waitForExit(t)
 }
 
-// The wall clock is stepped by an hour between two processes. What is owed keeps the time that it had: a step forward gives
-// nothing up, and after a step back nothing is kept beyond its TTL.
+// The wall clock is stepped by an hour between two processes. Pending notifications keep their remaining time: a step
+// forward does not expire them, and a step back does not keep them beyond their TTL.
 func TestClockStep(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
-		w := newWorld(t)
-		w.hangs.Store(true)
-		w.startOn(t, w.machine())
-		if !w.handIn("a1", 1) {
-			t.Fatal("not taken on")
+		w := newEnvironment(t)
+		w.partnerHangs.Store(true)
+		w.startOn(t, w.system())
+		if !w.submit("a1", 1) {
+			t.Fatal("not accepted")
 		}
 		<-w.pushed
 		w.stop(t)
-		system := w.machine()
+		system := w.system()
 		system.Clocks.Wall = func() time.Time { return time.Now().Add(step) }
 		w.startOn(t, system)
 		select {
@@ -97,13 +97,13 @@
 			if took, err := time.ParseDuration(left + "s"); err != nil || took > 6*time.Second || took < time.Second {
 				t.Errorf("step of %v: pushed with %s left", step, left)
 			}
-		case text := <-w.noticed:
+		case text := <-w.notices:
 			t.Errorf("step of %v: given up: %s", step, text)
 		case <-time.After(3 * time.Second):
 			t.Errorf("step of %v: not pushed again", step)
 		}
 		select {
-		case <-w.noticed:
+		case <-w.notices:
 		case <-time.After(8 * time.Second):
 			t.Errorf("step of %v: no final answer after its TTL", step)
 		}
@@ -111,13 +111,13 @@
 	}
 }
 
-// A folder, a configuration or an address that cannot be had for a moment ends no start.
+// A folder, a configuration or an address that is unavailable for a moment does not fail the start.
 func TestStartRetries(t *testing.T) {
-	w := newWorld(t)
-	system := w.machine()
+	w := newEnvironment(t)
+	system := w.system()
 	var tried atomic.Int32
 	fails := func(err error) error {
-		if tried.Add(1)%3 != 0 { // each fails twice
+		if tried.Add(1)%3 != 0 { // each operation fails twice
 			return err
 		}
 		return nil
@@ -142,13 +142,14 @@
 		return listen(address)
 	}
 	w.startOn(t, system)
-	if !w.handIn("a1", 1) {
-		t.Error("not taken on")
+	if !w.submit("a1", 1) {
+		t.Error("not accepted")
 	}
 	w.stop(t)
 }
 
-// The configuration cannot be read, or is half written, as SIGHUP comes: it is read again until it can be, and discovery moves.
+// After a SIGHUP the configuration cannot be read, then is incomplete. It is read again until it is valid, and the new
+// discovery address is used.
 func TestReloadRetries(t *testing.T) {
 	asked := make(chan struct{}, 99)
 	after := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -159,8 +160,8 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(func() { after.CloseClientConnections() })
-	w := newWorld(t)
-	system := w.machine()
+	w := newEnvironment(t)
+	system := w.system()
 	read := system.ReadFile
 	var fails atomic.Int32
 	system.ReadFile = func(path string) ([]byte, error) {
@@ -184,7 +185,7 @@
 		t.Fatal(err)
 	}
 	config["discovery"] = strings.TrimPrefix(after.URL, "http://")
-	text, _ = json.Marshal(config) // it was read from JSON
+	text, _ = json.Marshal(config) // always marshals: it was decoded from JSON
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +194,7 @@
 	select {
 	case <-asked:
 	case <-time.After(4 * time.Second):
-		t.Error("discovery has not moved within 4 s")
+		t.Error("the discovery address has not changed within 4 s")
 	}
 	w.stop(t)
 }
--- a/dispatcher/rig_test.go
+++ b/dispatcher/rig_test.go
@@ -14,21 +14,21 @@
 	"orchiddrift/dispatcher"
 )
 
-// node is a dispatcher in this process, with the folder that outlives it.
-type node struct {
-	addr  string
-	env   map[string]string
-	ended chan error
+// testDispatcher is a dispatcher under test with its own folder. It runs in the test process or in child processes.
+type testDispatcher struct {
+	addr   string
+	env    map[string]string
+	exited chan error
 }
 
-// configure writes a configuration as the example's, with an agent and the endpoints known, changed further.
-func configure(t *testing.T, agent string, known []map[string]any, change func(map[string]any)) *node {
+// configure writes the example's configuration with an agent, the endpoints known at the start and further changes.
+func configure(t *testing.T, agent string, known []map[string]any, change func(map[string]any)) *testDispatcher {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &node{addr: ln.Addr().String()}
+	d := &testDispatcher{addr: ln.Addr().String()}
 	ln.Close()
 	text, err := os.ReadFile("../example/config.json")
 	if err != nil {
@@ -50,48 +50,48 @@
 	return d
 }
 
-// start runs it and waits until it serves.
-func (d *node) start(t *testing.T) {
+// start runs the dispatcher and waits until it is ready.
+func (d *testDispatcher) start(t *testing.T) {
 	t.Helper()
-	d.ended = make(chan error, 1)
+	d.exited = make(chan error, 1)
 	go func() {
-		d.ended <- dispatcher.Run(func(name string) string { return d.env[name] }, dispatcher.LogOptions{})
+		d.exited <- dispatcher.Run(func(name string) string { return d.env[name] }, dispatcher.LogOptions{})
 	}()
-	within(t, "ready", func() bool {
+	eventually(t, "ready", func() bool {
 		resp, err := http.Get("http://" + d.addr + "/_health")
 		return err == nil && resp.Body.Close() == nil && resp.StatusCode == http.StatusOK
 	})
 }
 
-// handIn hands in a reading, and tells whether it was taken on.
-func (d *node) handIn(id string, dest int) bool { return d.handInAs("reading", id, dest) }
+// submit submits a notification of topic "reading" and reports whether it was accepted.
+func (d *testDispatcher) submit(id string, dest int) bool { return d.submitTopic("reading", id, dest) }
 
-// signal sends a signal to this process.
-func (d *node) signal(t *testing.T, s syscall.Signal) {
+// signal sends a signal to the test process.
+func (d *testDispatcher) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// ends waits for its end, which a SIGTERM asked for.
-func (d *node) ends(t *testing.T) {
+// waitForExit waits until the dispatcher has exited after a SIGTERM.
+func (d *testDispatcher) waitForExit(t *testing.T) {
 	t.Helper()
 	select {
-	case err := <-d.ended:
+	case err := <-d.exited:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(3700 * time.Millisecond):
-		t.Error("it did not end")
+		t.Error("dispatcher did not exit in time")
 	}
 }
 
-// within waits for something to come true.
-func within(t *testing.T, what string, is func() bool) {
+// eventually fails the test unless condition becomes true within 5 s.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !is(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("not within 5 s: %s", what)
 		}
 	}
--- a/dispatcher/size_test.go
+++ b/dispatcher/size_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// A dispatcher among 1,024 serves 1,024 endpoints that it knew at its start and 1,024 that the list tells later: the
-// first and the last of each get what is theirs, and it ends when told to.
-func TestSize(t *testing.T) {
+// One of 1,024 dispatchers serves 1,024 endpoints of its configuration and 1,024 that discovery lists later. The first
+// and the last of each get their notifications, and the dispatcher exits on SIGTERM.
+func TestManyEndpoints(t *testing.T) {
 	const size = 1024
 	var lock sync.Mutex
-	var got []string
+	var delivered []string
 	partner := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		lock.Lock()
 		defer lock.Unlock()
-		got = append(got, r.Header.Get("X-Call-Id"))
+		delivered = append(delivered, r.Header.Get("X-Call-Id"))
 	}))
 	defer partner.Close()
 	entries := func(from int) []map[string]any {
@@ -61,22 +61,22 @@
 		config["peers"] = peers
 	})
 	d.start(t)
-	var sent []string
+	var submitted []string
 	for _, dest := range []int{0, size - 1, size, 2*size - 1} {
 		id := fmt.Sprintf("m-%d", dest)
-		sent = append(sent, id)
-		within(t, id+" taken on", func() bool { return d.handIn(id, dest) }) // refused until the list names its destination
+		submitted = append(submitted, id)
+		eventually(t, id+" accepted", func() bool { return d.submit(id, dest) }) // refused until its destination is listed
 	}
-	within(t, "delivered", func() bool {
+	eventually(t, "delivered", func() bool {
 		lock.Lock()
 		defer lock.Unlock()
-		return len(got) >= len(sent)
+		return len(delivered) >= len(submitted)
 	})
-	slices.Sort(got)
-	slices.Sort(sent)
-	if !slices.Equal(got, sent) {
-		t.Errorf("delivered %v, want %v", got, sent)
+	slices.Sort(delivered)
+	slices.Sort(submitted)
+	if !slices.Equal(delivered, submitted) {
+		t.Errorf("delivered %v, want %v", delivered, submitted)
 	}
 	d.signal(t, syscall.SIGTERM)
-	d.ends(t)
+	d.waitForExit(t)
 }
--- a/dispatcher/start.go
+++ b/dispatcher/start.go
@@ -14,129 +14,130 @@
 	"orchiddrift/ledger"
 )
 
-// A start that fails for a reason that may pass is tried again for so long: a dispatcher has 30 s to be ready, and some of
-// those go to what follows.
+// A startup step that fails with a transient error is retried every startRetryInterval until startRetryFor after the
+// start. A dispatcher has 30 s to become ready; the difference is left for the steps that follow.
 const (
-	startFor   = 25 * time.Second
-	startPause = 100 * time.Millisecond
+	startRetryFor      = 25 * time.Second
+	startRetryInterval = 100 * time.Millisecond
 )
 
-// errStopped tells that SIGTERM came before the dispatcher had started.
-var errStopped = errors.New("told to end before the start was over")
+// errStoppedDuringStart is returned when SIGTERM or SIGINT arrives before the start is complete.
+var errStoppedDuringStart = errors.New("stopped by a signal before the start was complete")
 
-// passing are the errors of system calls that may pass: resources that others may give back, disks and folders that fail
-// for a while, addresses and locks that a process before this one is about to let go of.
-var passing = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS,
+// transientErrors are errors that a retry may resolve: exhausted resources that others may free, temporary failures of
+// disks and folders, and addresses and locks that a previous process is about to release.
+var transientErrors = []error{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS,
 	syscall.EAGAIN, syscall.EINTR, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN, syscall.ENETUNREACH,
 	syscall.EBUSY, syscall.ETIMEDOUT, syscall.ESTALE, disk.ErrLocked}
 
-// starter carries out the steps of a start.
+// starter runs the steps of a start.
 type starter struct {
-	stops <-chan os.Signal
-	log   zerolog.Logger
-	begun time.Time
-	steps []step // that are over and not told yet
-	told  bool   // the configuration is taken: steps are told as they are over
+	stopSignals   <-chan os.Signal
+	log           zerolog.Logger
+	startedAt     time.Time
+	unloggedSteps []startStep // complete but not logged yet
+	logEnabled    bool        // the configuration is valid: steps are logged as they complete
 }
 
-// step is one of a start that is over.
-type step struct {
-	name  string
-	after float64 // seconds after the process began
+// startStep is a completed step of a start.
+type startStep struct {
+	name    string
+	elapsed float64 // seconds since the start began
 }
 
-// done notes that a step is over. Where a start hangs is behind the last step that the log tells.
-func (s *starter) done(name string) {
-	s.steps = append(s.steps, step{name, time.Since(s.begun).Seconds()})
-	if s.told {
-		s.tell(s.log)
+// recordStep records that a step is complete. A start that hangs does so after the last step in the log.
+func (s *starter) recordStep(name string) {
+	s.unloggedSteps = append(s.unloggedSteps, startStep{name, time.Since(s.startedAt).Seconds()})
+	if s.logEnabled {
+		s.enableLog(s.log)
 	}
 }
 
-// tell puts the steps into a log from now on. Until the configuration is taken there are none: a bad one is told in one line.
-func (s *starter) tell(log zerolog.Logger) {
-	s.log, s.told = log, true
-	for _, x := range s.steps {
-		log.Info().Str("step", x.name).Float64("after", x.after).Msg("start step done")
+// enableLog logs the recorded steps, and later ones as they complete. Steps before a valid configuration are held back,
+// so that an invalid one is reported in a single line.
+func (s *starter) enableLog(log zerolog.Logger) {
+	s.log, s.logEnabled = log, true
+	for _, step := range s.unloggedSteps {
+		log.Info().Str("step", step.name).Float64("after", step.elapsed).Msg("startup step complete")
 	}
-	s.steps = nil
+	s.unloggedSteps = nil
 }
 
-// try carries out a step until it succeeds, fails for a reason that does not pass, or takes too long.
-func (s *starter) try(name string, do func() error) error {
-	for told := false; ; {
-		err := do()
+// retry runs a step until it succeeds, fails with a permanent error, startRetryFor has passed or a stop signal arrives.
+func (s *starter) retry(name string, run func() error) error {
+	for logged := false; ; {
+		err := run()
 		if err == nil {
-			s.done(name)
+			s.recordStep(name)
 		}
-		if err == nil || !passes(err) || time.Since(s.begun) > startFor {
+		if err == nil || !isTransient(err) || time.Since(s.startedAt) > startRetryFor {
 			return err
 		}
-		if !told {
-			s.log.Warn().Err(err).Str("step", name).Msg("start waits: it is tried again")
-			told = true
+		if !logged {
+			s.log.Warn().Err(err).Str("step", name).Msg("startup step failed with a transient error; retrying")
+			logged = true
 		}
 		select {
-		case <-s.stops:
-			return errStopped
-		case <-time.After(startPause):
+		case <-s.stopSignals:
+			return errStoppedDuringStart
+		case <-time.After(startRetryInterval):
 		}
 	}
 }
 
-func passes(err error) bool {
-	for _, e := range passing {
-		if errors.Is(err, e) {
+func isTransient(err error) bool {
+	for _, transient := range transientErrors {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
 	return false
 }
 
-// kept is what the folder that outlives the process holds.
-type kept struct {
-	folder Folder
-	ledger *ledger.Ledger
-	owed   []ledger.Pending
-	found  ledger.Report
-	clock  func() float64
+// persistentState is the state kept in the folder that outlives the process.
+type persistentState struct {
+	folder  Folder
+	ledger  *ledger.Ledger
+	pending []ledger.Pending
+	report  ledger.Report
+	clock   func() float64
 }
 
-// openKept opens the folder and reads what is owed since before.
-func openKept(system System, c *config, log zerolog.Logger) (*kept, error) {
-	k := &kept{}
+// openState opens the folder and reads the notifications that the previous process left pending.
+func openState(system System, cfg *config, log zerolog.Logger) (*persistentState, error) {
+	state := &persistentState{}
 	var err error
-	if k.folder, err = system.OpenFolder(c.state); err != nil {
+	if state.folder, err = system.OpenFolder(cfg.state); err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	sync := c.Ledger.Sync == syncBatch || c.Ledger.Sync == syncAlways
-	k.ledger, k.owed, k.found, err = ledger.Open(k.folder, ledger.Options{Limit: int(c.Limits.DiskMB * 1e6), Sync: sync})
+	sync := cfg.Ledger.Sync == syncBatch || cfg.Ledger.Sync == syncAlways
+	state.ledger, state.pending, state.report, err = ledger.Open(state.folder, ledger.Options{Limit: int(cfg.Limits.DiskMB * 1e6), Sync: sync})
 	if err != nil {
-		_ = k.folder.Close()
+		_ = state.folder.Close()
 		return nil, err
 	}
-	for _, d := range k.found.Damaged {
-		log.Error().Str("file", d.File).Int("at", d.Offset).Int("bytes", d.Bytes).Msg("ledger damaged: what is owed from before may have run")
+	for _, damaged := range state.report.Damaged {
+		log.Error().Str("file", damaged.File).Int("at", damaged.Offset).Int("bytes", damaged.Bytes).Msg("ledger damaged: pushes of notifications owed from before may have run")
 	}
-	running, err := clock.Open(k.folder, system.Clocks, sync)
+	processClock, err := clock.Open(state.folder, system.Clocks, sync)
 	if errors.Is(err, clock.ErrOffsetUnreadable) {
-		return nil, errors.Join(err, k.ledger.Close(), k.folder.Close())
+		return nil, errors.Join(err, state.ledger.Close(), state.folder.Close())
 	}
 	if err != nil {
-		log.Warn().Err(err).Msg("clock not kept: a step of the time of day before the next start would move what is owed")
-		go keepLater(running, log)
+		log.Warn().Err(err).Msg("clock offset not saved: a step of the wall clock before the next start would shift the deadlines of what is owed")
+		go saveClockLater(processClock, log)
 	}
-	k.clock = running.Now
-	return k, nil
+	state.clock = processClock.Now
+	return state, nil
 }
 
-// keepPause is the pause between two tries to keep the clock.
-const keepPause = 200 * time.Millisecond
+// clockSaveInterval is the pause between two attempts to save the clock's offset.
+const clockSaveInterval = 200 * time.Millisecond
 
-// keepLater keeps the clock once the folder can be written to.
-func keepLater(c *clock.Clock, log zerolog.Logger) {
+// saveClockLater saves the clock's offset as soon as the folder is writable.
+func saveClockLater(c *clock.Clock, log zerolog.Logger) {
 	for c.Save() != nil {
-		time.Sleep(keepPause)
+		time.Sleep(clockSaveInterval)
 	}
-	log.Info().Msg("clock kept")
+	log.Info().Msg("clock offset saved")
 }
--- a/dispatcher/start_test.go
+++ b/dispatcher/start_test.go
@@ -10,18 +10,18 @@
 	"github.com/rs/zerolog"
 )
 
-// A start tells each step as it is over, with the seconds since the process began; one that hangs stands behind the last that was told.
-// Starts on a starved machine were late in 6 of 13 plays, and no log said where they stood.
-func TestStartTellsSteps(t *testing.T) {
+// The log has a line for each step of a start as it completes, with the seconds since the start began, so that it shows
+// where a start hangs. On a starved machine starts were late in 6 of 13 plays, and no log said in which step.
+func TestStartLogsSteps(t *testing.T) {
 	var text bytes.Buffer
-	s := &starter{log: zerolog.New(&text), begun: time.Now().Add(-2 * time.Second)}
-	s.done("configuration")
+	s := &starter{log: zerolog.New(&text), startedAt: time.Now().Add(-2 * time.Second)}
+	s.recordStep("configuration")
 	if text.Len() > 0 {
-		t.Errorf("told before the configuration was taken: %s", &text)
+		t.Errorf("logged before the configuration was valid: %s", &text)
 	}
-	s.tell(s.log)
+	s.enableLog(s.log)
 	tries := 0
-	err := s.try("folder", func() error {
+	err := s.retry("folder", func() error {
 		if tries++; tries == 1 {
 			return syscall.EIO
 		}
@@ -30,8 +30,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.try("listener", func() error { return syscall.EACCES }); err == nil {
-		t.Fatal("a step that failed for good passed")
+	if err := s.retry("listener", func() error { return syscall.EACCES }); err == nil {
+		t.Fatal("a step with a permanent error succeeded")
 	}
 	var steps []string
 	for _, line := range bytes.Split(bytes.TrimSpace(text.Bytes()), []byte("\n")) {
@@ -42,7 +42,7 @@
 		if err := json.Unmarshal(line, &entry); err != nil {
 			t.Fatal(err)
 		}
-		if entry.Message == "start step done" {
+		if entry.Message == "startup step complete" {
 			steps = append(steps, entry.Step)
 			if entry.After < 2 || entry.After > 5 {
 				t.Errorf("%s after %g s", entry.Step, entry.After)
@@ -50,6 +50,6 @@
 		}
 	}
 	if len(steps) != 2 || steps[0] != "configuration" || steps[1] != "folder" {
-		t.Errorf("steps done: %q", steps)
+		t.Errorf("steps complete: %q", steps)
 	}
 }
