--- a/appconfig/app.go
+++ b/appconfig/app.go
@@ -1,5 +1,5 @@
-// Package appconfig is the configuration that people write for an application's dispatcher: its format, the checks that a
-// file must pass before it is used, and the platform's form made from it. Checks do no I/O.
+// Package appconfig reads and checks the configuration files that operators write for an application's dispatcher, and
+// converts them to the platform's format. Checks do no I/O.
 package appconfig
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// App is one application's file.
+// App is the configuration file of one application.
 type App struct {
 	File      string `toml:"-"`
 	Name      string `toml:"name"`
-	Listen    string `toml:"listen"`    // where its clients connect
-	State     string `toml:"state"`     // the folder that outlives the process
-	Discovery string `toml:"discovery"` // the agent's address
+	Listen    string `toml:"listen"`    // address that clients connect to
+	State     string `toml:"state"`     // folder that outlives the process
+	Discovery string `toml:"discovery"` // address of the agent
 	Seed      string `toml:"seed"`
 
 	Limits     Limits     `toml:"limits"`
@@ -27,10 +27,10 @@
 	Tenants    []Tenant   `toml:"tenants,omitempty"`
 	Partners   []Partner  `toml:"partners"`
 
-	lines map[string]int // by key: where the file says it
+	lines map[string]int // line in the file by key
 }
 
-// Limits are the process's.
+// Limits are the resources that the process may use.
 type Limits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
@@ -38,30 +38,30 @@
 	DiskMB   float64 `toml:"disk_mb"`
 }
 
-// Ledger says when records are on the disk: none, batch or always.
+// Ledger configures when records are synced to disk: none, batch or always.
 type Ledger struct {
 	Sync string `toml:"sync"`
 }
 
-// Dispatcher is what one may hold and have out.
+// Dispatcher limits what a dispatcher may hold and have out.
 type Dispatcher struct {
-	Count  int      `toml:"count"` // that share the partners
+	Count  int      `toml:"count"` // dispatchers that share the partners
 	Slots  int      `toml:"slots"`
 	Held   int      `toml:"held"`
 	Pushes int      `toml:"pushes"`
 	Tick   Duration `toml:"tick"`
 	Dial   Duration `toml:"dial"`
 	Idle   Duration `toml:"idle"`
-	Rest   Duration `toml:"rest"` // of an ordered key after a push that may still run
+	Rest   Duration `toml:"rest"` // wait before the next push of an ordered key while an earlier one may still run
 }
 
-// Load is what the application says it will hand in.
+// Load is the load that the application is expected to submit.
 type Load struct {
-	Rate float64 `toml:"rate"` // notifications a second
-	Body int     `toml:"body"` // bytes of one
+	Rate float64 `toml:"rate"` // notifications per second
+	Body int     `toml:"body"` // bytes per notification
 }
 
-// Returns is what a destination back from an outage can take.
+// Returns describes the capacity of a destination that recovers from an outage.
 type Returns struct {
 	ColdFrom float64  `toml:"cold_from"`
 	ColdSpan Duration `toml:"cold_span"`
@@ -69,15 +69,15 @@
 	Fall     Duration `toml:"fall"`
 }
 
-// Layout is how the platform is laid out. What it leaves out is as in the old shape.
+// Layout describes the platform. Keys that are left out have the values of the old layout.
 type Layout struct {
-	List     string `toml:"list"`     // the list of endpoints is pushed, or answers only when asked
-	Rates    string `toml:"rates"`    // it tells what partners take, or none
-	Refusals string `toml:"refusals"` // calls refused above a limit are priced, or free
-	Late     string `toml:"late"`     // benefit falls in a line after the objective, or by halves
+	List     string `toml:"list"`     // whether discovery pushes the list of endpoints or sends it on request
+	Rates    string `toml:"rates"`    // whether the list has the rates of partners
+	Refusals string `toml:"refusals"` // whether calls refused above a limit have a cost
+	Late     string `toml:"late"`     // whether benefit decays linearly after the objective or by halves
 }
 
-// The layout's words; the first of each pair is the old shape's.
+// Values of Layout. The first of each pair is the old layout's.
 const (
 	ListPushed     = "pushed"
 	ListOnDemand   = "asked"
@@ -89,19 +89,20 @@
 	LateHalving    = "halves"
 )
 
-// Zone is where endpoints stand, and what a notification costs that a route apart there takes on.
+// Zone is a zone of endpoints, with the fee of a notification that a separate route in the zone accepts.
 type Zone struct {
 	Name string  `toml:"name"`
 	Fee  float64 `toml:"fee"`
 }
 
-// Whether the endpoints of a partner share its limit, or are routes with a limit, a pace and outages each.
+// Values of Partner.Routes: the endpoints share the partner's limit, or each is a route with its own limit, pace and
+// outages.
 const (
 	RoutesShared   = "shared"
 	RoutesSeparate = "apart"
 )
 
-// The repeat kinds, as people write them.
+// Values of Topic.Repeat.
 const (
 	Repeatable  = "repeatable"
 	Collapsible = "collapsible"
@@ -112,59 +113,59 @@
 type Topic struct {
 	Name        string   `toml:"name"`
 	Repeat      string   `toml:"repeat"`
-	Resends     int      `toml:"resends"` // pushes after one that may have run; the most that a purchase may have is none
-	Memory      Duration `toml:"memory"`  // collapsible: how long partners know its mark
+	Resends     int      `toml:"resends"` // pushes after one that may have run; 0 for once-only
+	Memory      Duration `toml:"memory"`  // collapsible: how long partners remember the idempotency key
 	Objective   Duration `toml:"objective"`
 	TTL         Duration `toml:"ttl"`
 	Benefit     float64  `toml:"benefit"`
 	LateBenefit float64  `toml:"late_benefit"`
 	Ordered     bool     `toml:"ordered"`
-	Key         string   `toml:"key"` // of the order: what its notifications share
+	Key         string   `toml:"key"` // what the notifications of one ordered sequence share
 }
 
-// Tenant is a client's organisation.
+// Tenant is the organisation of a client.
 type Tenant struct {
 	Name string  `toml:"name"`
 	Rate float64 `toml:"rate"`
 }
 
-// Partner is a system that notifications go to.
+// Partner is a system that receives notifications.
 type Partner struct {
 	Name      string     `toml:"name"`
 	Dest      int        `toml:"dest"`
 	Kind      string     `toml:"kind"`
-	Rate      float64    `toml:"rate,omitempty"` // calls a second that it takes from all applications
-	Load      float64    `toml:"load"`           // of them this application's part
+	Rate      float64    `toml:"rate,omitempty"` // calls per second that it accepts from all applications
+	Load      float64    `toml:"load"`           // notifications per second from this application
 	Answer    Duration   `toml:"answer"`
 	Batch     int        `toml:"batch"`
 	Protocol  string     `toml:"protocol"`
 	Routes    string     `toml:"routes"`           // shared or apart
-	DropsKeys bool       `toml:"drops_keys"`       // it does not know a repeat by its mark
-	Topics    []string   `toml:"topics,omitempty"` // those that go to it; none: all
+	DropsKeys bool       `toml:"drops_keys"`       // it does not recognize repeats by their idempotency key
+	Topics    []string   `toml:"topics,omitempty"` // topics that it receives; all if empty
 	Endpoints []Endpoint `toml:"endpoints"`
 }
 
-// Endpoint is one of a partner's servers.
+// Endpoint is a server of a partner.
 type Endpoint struct {
 	ID   string `toml:"id"`
 	Addr string `toml:"addr"`
 	Zone string `toml:"zone"`
 }
 
-// Duration is a time, written with its unit, as 2.5s or 500ms.
+// Duration is a duration, written with a unit such as 2.5s or 500ms.
 type Duration struct{ Seconds float64 }
 
-// UnmarshalText reads a time; a number without a unit is none.
+// UnmarshalText parses a duration. A number without a unit is an error.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time with its unit, as 2.5s or 500ms", text)
+		return fmt.Errorf("%q is not a duration with a unit, such as 2.5s or 500ms", text)
 	}
 	d.Seconds = v.Seconds()
 	return nil
 }
 
-// MarshalText writes it as it is read.
+// MarshalText formats a duration as UnmarshalText parses it.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
 func (d Duration) String() string { return time.Duration(d.Seconds * float64(time.Second)).String() }
--- a/appconfig/appconfig_test.go
+++ b/appconfig/appconfig_test.go
@@ -14,7 +14,7 @@
 	"orchiddrift/settings"
 )
 
-func example(t testing.TB) string {
+func readExample(t testing.TB) string {
 	text, err := os.ReadFile("../example/app.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -22,8 +22,8 @@
 	return string(text)
 }
 
-// without takes a list out of a text, with all that is in it.
-func without(text, list string) string {
+// withoutTable returns the text without the entries of a list.
+func withoutTable(text, list string) string {
 	var kept []string
 	in := false
 	for _, line := range strings.Split(text, "\n") {
@@ -37,7 +37,7 @@
 	return strings.Join(kept, "\n")
 }
 
-func judge(file, text string) []appconfig.Finding {
+func findingsIn(file, text string) []appconfig.Finding {
 	a, found := appconfig.Parse(file, []byte(text))
 	if a != nil {
 		found = append(found, appconfig.Check(a)...)
@@ -45,11 +45,11 @@
 	return found
 }
 
-// Each deliberately bad configuration is refused for what is wrong with it, at the line where it stands.
-func TestBad(t *testing.T) {
-	good := example(t)
-	if found := judge("app.toml", good); len(found) > 0 {
-		t.Fatalf("the example is refused: %v", found)
+// Each invalid configuration in testdata/bad.toml is refused by the expected rule, with the line of the mistake.
+func TestInvalidConfigurations(t *testing.T) {
+	good := readExample(t)
+	if found := findingsIn("app.toml", good); len(found) > 0 {
+		t.Fatalf("example refused: %v", found)
 	}
 	text, err := os.ReadFile("testdata/bad.toml")
 	if err != nil {
@@ -62,34 +62,35 @@
 		t.Fatal(err)
 	}
 	for _, c := range data.Case {
-		bad := without(good, c.Without)
+		bad := withoutTable(good, c.Without)
 		if c.Without == "" {
 			if bad = strings.Replace(good, c.Old, c.New, 1); bad == good {
-				t.Errorf("%s: changes nothing", c.Name)
+				t.Errorf("%s: the case does not change the example", c.Name)
 			}
 		}
-		found := judge("app.toml", bad)
+		found := findingsIn("app.toml", bad)
 		i := slices.IndexFunc(found, func(f appconfig.Finding) bool { return f.Rule == c.Want })
 		if i < 0 {
-			t.Errorf("%s: wants %s, found %v", c.Name, c.Want, found)
+			t.Errorf("%s: want %s, found %v", c.Name, c.Want, found)
 			continue
 		}
 		f := found[i]
 		if f.Reason == "" || f.Remedy == "" || strings.Contains(f.String(), "\n") {
-			t.Errorf("%s: not a line that tells what to do: %v", c.Name, f)
+			t.Errorf("%s: want one line with reason and remedy: %v", c.Name, f)
 		}
 		if c.Old != "" && c.New != "" && f.Line == 0 {
 			t.Errorf("%s: no line: %v", c.Name, f)
 		}
 	}
-	t.Log(len(data.Case), "bad configurations refused")
+	t.Log(len(data.Case), "invalid configurations")
 }
 
-// All is told at once, each with its place, its reason and the remedy; two applications are judged together.
+// All findings are returned at once, each with its place, reason and remedy, also those between two applications and
+// those between two versions of a file.
 func Example_findings() {
 	text, _ := os.ReadFile("../example/app.toml")
 	bad := strings.NewReplacer(`repeat = "once-only"`, `repeat = "sometimes"`, "slots = 12", "slots = 0", `key = "customer account"`, "").Replace(string(text))
-	for _, f := range judge("billing.toml", bad) {
+	for _, f := range findingsIn("billing.toml", bad) {
 		fmt.Println(f)
 	}
 	a, _ := appconfig.Parse("billing.toml", text)
@@ -101,21 +102,21 @@
 	fmt.Println(appconfig.CheckReload(a, c)[0])
 	fmt.Println(len(appconfig.CheckReload(a, a)))
 	// Output:
-	// billing.toml:15: dispatcher.slots: OD006: 0 is not from 2 to 1e+06. Give one in the range.
-	// billing.toml:44: topics[2].repeat: OD008: "sometimes" is no repeat kind. Say repeatable, collapsible or once-only: if a second effect would cost somebody, once-only.
-	// billing.toml:49: topics[2].ordered: OD012: "purchase" has no key. Name in key what the notifications of one line share.
-	// billing.toml:15: dispatcher.slots: OD019: 0.92 calls are out at once on average, of 0 slots. Raise dispatcher.slots, or lower load.rate.
-	// meters.toml:4: listen: OD041: "127.0.0.1:8081" is also billing.toml's. Give each its own.
-	// meters.toml:5: state: OD042: "state/billing" is also billing.toml's. Give each its own.
-	// meters.toml:72: partners[1].rate: OD043: "hill-homes" takes 12 here and 15 in billing.toml. Agree on the rate that the partner takes from all, and write it in both.
-	// meters.toml:73: partners[1].load: OD044: with this, 2 applications send "hill-homes" 20 calls a second, of 15. Lower their loads to it until they add up to its rate.
-	// new.toml:44: topics[2].repeat: OD050: "purchase" was once-only and would be repeatable. Drain the application and restart it, so that nothing owed is under both readings.
+	// billing.toml:15: dispatcher.slots: OD006: 0 is not in the range 2 to 1e+06. Use a number in the range.
+	// billing.toml:44: topics[2].repeat: OD008: "sometimes" is not a repeat kind. Set repeatable, collapsible or once-only; use once-only if a second effect would cost somebody.
+	// billing.toml:49: topics[2].ordered: OD012: "purchase" has no key. Set key to what the notifications of one ordered sequence share.
+	// billing.toml:15: dispatcher.slots: OD019: 0.92 calls are out at once on average, with 0 slots. Raise dispatcher.slots, or lower load.rate.
+	// meters.toml:4: listen: OD041: "127.0.0.1:8081" is also used by billing.toml. Give each its own address.
+	// meters.toml:5: state: OD042: "state/billing" is also used by billing.toml. Give each its own folder.
+	// meters.toml:72: partners[1].rate: OD043: "hill-homes" has rate 12 here and 15 in billing.toml. Agree on the rate that the partner takes from all applications, and set it in both.
+	// meters.toml:73: partners[1].load: OD044: 2 applications together send "hill-homes" 20 calls per second, and its rate is 15. Lower their loads for it until they add up to its rate.
+	// new.toml:44: topics[2].repeat: OD050: "purchase" is once-only and would become repeatable. Drain the application and restart it, so that no pending notification is under both settings.
 	// 0
 }
 
-// The platform's form of the example makes a module.
-func TestPlatform(t *testing.T) {
-	a, found := appconfig.Parse("app.toml", []byte(example(t)))
+// A scheduler can be built from the platform's format of the example.
+func TestPlatformConfig(t *testing.T) {
+	a, found := appconfig.Parse("app.toml", []byte(readExample(t)))
 	if len(found) > 0 {
 		t.Fatal(found)
 	}
@@ -133,15 +134,15 @@
 	}
 }
 
-// No text whatever ends the checker.
+// No text makes the checker panic, and each finding has a rule and a reason.
 func FuzzParse(f *testing.F) {
-	good := example(f)
+	good := readExample(f)
 	f.Add(good)
 	f.Add(strings.Replace(good, "topics", "partners", 3))
 	f.Add("[[partners.endpoints]]\nid=\"x\"\n")
 	f.Add("partners = [{endpoints = [{}]}]\n[a.b]\nc.d = 1")
 	f.Fuzz(func(t *testing.T, text string) {
-		for _, found := range judge("x", text) {
+		for _, found := range findingsIn("x", text) {
 			if found.Rule == "" || found.Reason == "" {
 				t.Error(found)
 			}
@@ -149,25 +150,26 @@
 	})
 }
 
-// A file of the old shape gives the platform's form that it gave before there was another: byte for byte.
-func TestOldShape(t *testing.T) {
+// A file of the old layout is converted byte for byte as before the new layout existed.
+func TestOldLayoutUnchanged(t *testing.T) {
 	want, err := os.ReadFile("testdata/example.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, found := appconfig.Parse("app.toml", []byte(example(t)))
+	a, found := appconfig.Parse("app.toml", []byte(readExample(t)))
 	if len(found) > 0 {
 		t.Fatal(found)
 	}
 	got, err := a.PlatformConfig()
 	if err != nil || string(got)+"\n" != string(want) {
-		t.Errorf("%v, not as before:\n%s", err, got)
+		t.Errorf("%v, differs from testdata/example.json:\n%s", err, got)
 	}
 }
 
-// The counterpart passes the checks, is of the new shape, and its platform's form tells the module all of it.
+// A migrated file passes the checks and uses the new layout. Its platform format has the layout's settings, and the notes
+// name what the operator has to set.
 func TestMigrate(t *testing.T) {
-	old, _ := appconfig.Parse("old.toml", []byte(strings.Replace(example(t), `addr = "127.0.0.1:9003"`, "addr = \"127.0.0.1:9003\"\nzone = \"north\"", 1)))
+	old, _ := appconfig.Parse("old.toml", []byte(strings.Replace(readExample(t), `addr = "127.0.0.1:9003"`, "addr = \"127.0.0.1:9003\"\nzone = \"north\"", 1)))
 	text, notes, err := appconfig.Migrate(old)
 	if err != nil {
 		t.Fatal(err)
@@ -177,7 +179,7 @@
 		t.Fatalf("refused: %v\n%s", append(found, appconfig.Check(next)...), text)
 	}
 	if old.UsesNewLayout() || !next.UsesNewLayout() || next.Topics[2] != old.Topics[2] || next.Dispatcher != old.Dispatcher {
-		t.Errorf("not the same where it should be, or of the wrong shape:\n%s", text)
+		t.Errorf("topics or dispatcher changed, or wrong layout:\n%s", text)
 	}
 	form, err := next.PlatformConfig()
 	if err != nil {
@@ -185,12 +187,12 @@
 	}
 	for _, want := range []string{`"weight-kind": "silent"`, `"loses-worth": "halves"`, `"refusal-cost": 0`, `"weight": 1,`} {
 		if !strings.Contains(string(form), want) {
-			t.Errorf("%s is not in %s", want, form)
+			t.Errorf("%s not found in %s", want, form)
 		}
 	}
-	for _, want := range []string{"line 60: partners[0].rate: not carried over: 10 a second", "zones[0].fee: fill in", "partners[1].routes: fill in"} {
+	for _, want := range []string{"line 60: partners[0].rate: not carried over: 10 per second", "zones[0].fee: fill in", "partners[1].routes: fill in"} {
 		if !slices.ContainsFunc(notes, func(n appconfig.MigrationNote) bool { return strings.HasPrefix(n.String(), want) }) {
-			t.Errorf("%q is not told: %v", want, notes)
+			t.Errorf("no note %q: %v", want, notes)
 		}
 	}
 }
--- a/appconfig/read.go
+++ b/appconfig/read.go
@@ -11,48 +11,48 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Read reads a file with its defaults; what cannot be read at all comes as findings too.
+// Read reads a file and applies the defaults. If the file cannot be read, it returns nil and the findings.
 func Read(file string) (*App, []Finding) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, []Finding{{Rule: unreadable.ID, File: file, Reason: err.Error(), Remedy: unreadable.Remedy}}
+		return nil, []Finding{{Rule: ruleUnreadable.ID, File: file, Reason: err.Error(), Remedy: ruleUnreadable.Remedy}}
 	}
 	return Parse(file, text)
 }
 
-// Parse reads a file's text.
+// Parse parses the text of a file and applies the defaults. If the text is invalid, it returns nil and the findings.
 func Parse(file string, text []byte) (*App, []Finding) {
-	a := &App{File: file, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 3}, Ledger: Ledger{Sync: "none"},
+	app := &App{File: file, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 3}, Ledger: Ledger{Sync: "none"},
 		Dispatcher: Dispatcher{Count: 1, Slots: 32, Held: 400, Pushes: 8, Tick: Duration{0.005}, Dial: Duration{1.5}, Idle: Duration{15}},
 		Returns:    Returns{ColdFrom: 0.2, ColdSpan: Duration{14}, Multiple: 2, Fall: Duration{1.5}},
 		Layout:     Layout{List: ListPushed, Rates: RatesListed, Refusals: RefusalsPriced, Late: LateLinear}}
-	d := toml.NewDecoder(strings.NewReader(string(text)))
-	d.DisallowUnknownFields()
-	err := d.Decode(a)
-	if bare := withoutUnit(file, text); len(bare) > 0 { // told with their lines, which the library does not know of these
-		return nil, bare
+	decoder := toml.NewDecoder(strings.NewReader(string(text)))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(app)
+	if unitless := durationsWithoutUnit(file, text); len(unitless) > 0 { // the library reports these without a line
+		return nil, unitless
 	}
-	var strict *toml.StrictMissingError
-	var odd *toml.DecodeError
+	var strictErr *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
-	case errors.As(err, &strict):
-		var list []Finding
-		for _, e := range strict.Errors {
-			row, _ := e.Position()
-			list = append(list, Finding{Rule: misspelt.ID, File: file, Line: row, Key: strings.Join(e.Key(), "."),
-				Reason: "no such key", Remedy: misspelt.Remedy})
+	case errors.As(err, &strictErr):
+		var findings []Finding
+		for _, e := range strictErr.Errors {
+			line, _ := e.Position()
+			findings = append(findings, Finding{Rule: ruleUnknownKey.ID, File: file, Line: line, Key: strings.Join(e.Key(), "."),
+				Reason: "unknown key", Remedy: ruleUnknownKey.Remedy})
 		}
-		return nil, list
-	case errors.As(err, &odd):
-		row, _ := odd.Position()
-		return nil, []Finding{{Rule: unreadable.ID, File: file, Line: row, Key: strings.Join(odd.Key(), "."),
-			Reason: strings.TrimPrefix(odd.Error(), "toml: "), Remedy: unreadable.Remedy}}
+		return nil, findings
+	case errors.As(err, &decodeErr):
+		line, _ := decodeErr.Position()
+		return nil, []Finding{{Rule: ruleUnreadable.ID, File: file, Line: line, Key: strings.Join(decodeErr.Key(), "."),
+			Reason: strings.TrimPrefix(decodeErr.Error(), "toml: "), Remedy: ruleUnreadable.Remedy}}
 	case err != nil:
-		return nil, []Finding{{Rule: unreadable.ID, File: file, Reason: err.Error(), Remedy: unreadable.Remedy}}
+		return nil, []Finding{{Rule: ruleUnreadable.ID, File: file, Reason: err.Error(), Remedy: ruleUnreadable.Remedy}}
 	}
-	a.lines = lines(text)
-	for i := range a.Partners {
-		p := &a.Partners[i]
+	app.lines = keyLines(text)
+	for i := range app.Partners {
+		p := &app.Partners[i]
 		if p.Batch = max(p.Batch, 1); p.Protocol == "" {
 			p.Protocol = "http"
 		}
@@ -63,24 +63,24 @@
 			p.Kind = "plain"
 		}
 	}
-	return a, nil
+	return app, nil
 }
 
-// withoutUnit finds times that are written as plain numbers.
-func withoutUnit(file string, text []byte) []Finding {
-	times := map[string]bool{}
+// durationsWithoutUnit returns a finding for each duration that is written as a plain number.
+func durationsWithoutUnit(file string, text []byte) []Finding {
+	durationKeys := map[string]bool{}
 	for _, t := range []reflect.Type{reflect.TypeFor[Dispatcher](), reflect.TypeFor[Returns](), reflect.TypeFor[Topic](), reflect.TypeFor[Partner]()} {
 		for i := range t.NumField() {
 			if t.Field(i).Type == reflect.TypeFor[Duration]() {
-				times[t.Field(i).Tag.Get("toml")] = true
+				durationKeys[t.Field(i).Tag.Get("toml")] = true
 			}
 		}
 	}
-	var found []Finding
-	p := unstable.Parser{}
-	p.Reset(text)
-	for p.NextExpression() {
-		e := p.Expression()
+	var findings []Finding
+	parser := unstable.Parser{}
+	parser.Reset(text)
+	for parser.NextExpression() {
+		e := parser.Expression()
 		if e.Kind != unstable.KeyValue || e.Value().Kind != unstable.Integer && e.Value().Kind != unstable.Float {
 			continue
 		}
@@ -88,68 +88,68 @@
 		for it := e.Key(); it.Next(); {
 			last = it.Node()
 		}
-		if last != nil && times[string(last.Data)] {
-			found = append(found, Finding{Rule: unreadable.ID, File: file, Line: p.Shape(last.Raw).Start.Line, Key: string(last.Data),
-				Reason: "a time has no unit", Remedy: "Write it as 2.5s or 500ms."})
+		if last != nil && durationKeys[string(last.Data)] {
+			findings = append(findings, Finding{Rule: ruleUnreadable.ID, File: file, Line: parser.Shape(last.Raw).Start.Line, Key: string(last.Data),
+				Reason: "a duration has no unit", Remedy: "Write it as 2.5s or 500ms."})
 		}
 	}
-	return found
+	return findings
 }
 
-// lines tells where each key of a text stands; those of lists count from 0.
-func lines(text []byte) map[string]int {
-	found, seen := map[string]int{}, map[string]int{}
+// keyLines returns the line of each key of a text. Entries of array tables are numbered from 0.
+func keyLines(text []byte) map[string]int {
+	lines, arrayLengths := map[string]int{}, map[string]int{}
 	table := ""
-	p := unstable.Parser{}
-	p.Reset(text)
-	for p.NextExpression() {
-		e := p.Expression()
-		var words []string
-		row := 0
+	parser := unstable.Parser{}
+	parser.Reset(text)
+	for parser.NextExpression() {
+		e := parser.Expression()
+		var path []string
+		line := 0
 		for it := e.Key(); it.Next(); {
-			words = append(words, string(it.Node().Data))
-			row = p.Shape(it.Node().Raw).Start.Line
+			path = append(path, string(it.Node().Data))
+			line = parser.Shape(it.Node().Raw).Start.Line
 		}
-		key := strings.Join(words, ".")
+		key := strings.Join(path, ".")
 		switch e.Kind {
 		case unstable.Table:
-			table = indexed(words, seen) + "."
-			found[strings.TrimSuffix(table, ".")] = row
+			table = indexedPath(path, arrayLengths) + "."
+			lines[strings.TrimSuffix(table, ".")] = line
 		case unstable.ArrayTable:
-			at := indexed(words[:len(words)-1], seen)
-			if at != "" {
-				at += "."
+			array := indexedPath(path[:len(path)-1], arrayLengths)
+			if array != "" {
+				array += "."
 			}
-			at += words[len(words)-1]
-			table = fmt.Sprintf("%s[%d].", at, seen[at])
-			seen[at]++
-			found[strings.TrimSuffix(table, ".")] = row
+			array += path[len(path)-1]
+			table = fmt.Sprintf("%s[%d].", array, arrayLengths[array])
+			arrayLengths[array]++
+			lines[strings.TrimSuffix(table, ".")] = line
 		case unstable.KeyValue:
-			found[table+key] = row
+			lines[table+key] = line
 		}
 	}
-	return found
+	return lines
 }
 
-// indexed names a table within the lists it is in, each at its latest entry.
-func indexed(words []string, seen map[string]int) string {
-	at := ""
-	for i, w := range words {
+// indexedPath returns the key of a table. Each array on the path gets the index of its latest entry.
+func indexedPath(path []string, arrayLengths map[string]int) string {
+	indexed := ""
+	for i, name := range path {
 		if i > 0 {
-			at += "."
+			indexed += "."
 		}
-		if at += w; seen[at] > 0 {
-			at = fmt.Sprintf("%s[%d]", at, seen[at]-1)
+		if indexed += name; arrayLengths[indexed] > 0 {
+			indexed = fmt.Sprintf("%s[%d]", indexed, arrayLengths[indexed]-1)
 		}
 	}
-	return at
+	return indexed
 }
 
-// line is where a key stands, or what it is in.
-func (a *App) line(key string) int {
+// lineOf returns the line of a key, or of the closest table that contains it, or 0 if there is none.
+func (a *App) lineOf(key string) int {
 	for key != "" {
-		if row := a.lines[key]; row > 0 {
-			return row
+		if line := a.lines[key]; line > 0 {
+			return line
 		}
 		i := strings.LastIndexAny(key, ".[")
 		if i < 0 {
--- a/appconfig/rules.go
+++ b/appconfig/rules.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Finding is something wrong, with its place and what to do.
+// Finding is a problem in a file: its place, the rule that found it, and the remedy.
 type Finding struct {
 	Rule   string `json:"rule"`
 	File   string `json:"file"`
@@ -29,333 +29,333 @@
 	return fmt.Sprintf("%s: %s: %s. %s", place, f.Rule, f.Reason, f.Remedy)
 }
 
-// Rule is a check by its name.
+// Rule is a check, identified by its ID.
 type Rule struct {
 	ID          string `json:"id"`
 	Description string `json:"what"`
 	Remedy      string `json:"remedy"`
 }
 
-// The rules. Numbers are never given again.
+// The rules. The ID of a rule that was removed is not reused.
 var (
-	unreadable = Rule{"OD001", "the file cannot be read", "Mend the text at that place."}
-	misspelt   = Rule{"OD002", "a key is not known", "Look up its name in docs/configuration.md."}
-	unnamed    = Rule{"OD003", "a name is missing or stands twice", "Give each a name of its own."}
-	address    = Rule{"OD004", "an address is not host:port", "Write it as 10.0.0.4:8081."}
-	folder     = Rule{"OD005", "no folder outlives the process", "Name a folder of its own in state."}
-	figure     = Rule{"OD006", "a figure is out of its range", "Give one in the range."}
-	word       = Rule{"OD007", "a word is not one of those it can be", "Use one of them."}
-	repeat     = Rule{"OD008", "a topic type has no known repeat kind", "Say repeatable, collapsible or once-only: if a second effect would cost somebody, once-only."}
-	resent     = Rule{"OD009", "a once-only topic type is allowed resends", "Set resends to 0, or make the type collapsible if partners know its mark."}
-	forgotten  = Rule{"OD010", "a mark is forgotten while resends may still come", "Raise memory, or lower resends or objective."}
-	tooLate    = Rule{"OD011", "the objective is past the TTL", "Lower the objective, or raise the TTL."}
-	noKey      = Rule{"OD012", "order is asked for without a key", "Name in key what the notifications of one line share."}
-	nobody     = Rule{"OD013", "there is none", "Add one."}
-	noEndpoint = Rule{"OD014", "a partner has no endpoint", "Add a [[partners.endpoints]] with id and addr, or take the partner out."}
-	claimed    = Rule{"OD015", "an endpoint is under two partners", "Leave it under the one whose rate it counts for."}
-	dropsKeys  = Rule{"OD016", "a collapsible topic type goes to a partner that drops keys", "Make the type once-only, or leave it out of the partner's topics."}
-	noTopic    = Rule{"OD017", "a partner names a topic type that is not there", "Correct the name, or add the type."}
-	tooMuch    = Rule{"OD018", "more is sent to a partner than it takes", "Lower load, or agree on a higher rate with the partner."}
-	fewSlots   = Rule{"OD019", "the slots cannot carry the stated load", "Raise dispatcher.slots, or lower load.rate."}
-	littleRoom = Rule{"OD020", "the room cannot carry the stated load", "Raise dispatcher.held to a second's load at least."}
-	littleDisk = Rule{"OD021", "the ledger cannot hold the stated load for its TTL", "Raise limits.disk_mb, or lower the TTL or load.body."}
-	unplaced   = Rule{"OD022", "the partners' loads are not the stated load", "Make the partners' load add up to load.rate, within a tenth."}
-	layoutWord = Rule{"OD023", "the layout has a word that it cannot have", "Use one of them; leave the key out for the old shape's."}
-	noRates    = Rule{"OD024", "a rate is stated though the list tells none", "Take the rate out, or correct layout.rates."}
-	routeWord  = Rule{"OD025", "partners of one kind have different routes, or a word that is none", "Write shared or apart, the same for all partners of the kind."}
-	zoneFee    = Rule{"OD026", "a zone is not one that an endpoint is in, stands twice, or has a fee out of its range", "Name the endpoints' zones, each once, with a fee from 0 to 1."}
+	ruleUnreadable        = Rule{"OD001", "the file cannot be read", "Correct the file at that place."}
+	ruleUnknownKey        = Rule{"OD002", "unknown key", "Look up its name in docs/configuration.md."}
+	ruleUniqueName        = Rule{"OD003", "a name is missing or not unique", "Give each a unique name."}
+	ruleAddress           = Rule{"OD004", "an address is not host:port", "Write it as 10.0.0.4:8081."}
+	ruleStateFolder       = Rule{"OD005", "no state folder is set", "Set state to a folder that outlives the process and that no other application uses."}
+	ruleRange             = Rule{"OD006", "a number is out of range", "Use a number in the range."}
+	ruleAllowedValues     = Rule{"OD007", "a value is not one of the allowed ones", "Use one of the allowed values."}
+	ruleRepeatKind        = Rule{"OD008", "a topic type has no known repeat kind", "Set repeatable, collapsible or once-only; use once-only if a second effect would cost somebody."}
+	ruleOnceOnlyResends   = Rule{"OD009", "a once-only topic type allows resends", "Set resends to 0, or make the type collapsible if partners recognize its idempotency key."}
+	ruleDedupWindow       = Rule{"OD010", "an idempotency key expires while resends may still arrive", "Raise memory, or lower resends or objective."}
+	ruleObjectivePastTTL  = Rule{"OD011", "the objective is longer than the TTL", "Lower the objective, or raise the TTL."}
+	ruleOrderedWithoutKey = Rule{"OD012", "an ordered topic type has no key", "Set key to what the notifications of one ordered sequence share."}
+	ruleEmptyList         = Rule{"OD013", "a required list is empty", "Add an entry."}
+	ruleNoEndpoint        = Rule{"OD014", "a partner has no endpoint", "Add a [[partners.endpoints]] with id and addr, or remove the partner."}
+	ruleSharedEndpoint    = Rule{"OD015", "an endpoint belongs to two partners", "Keep it under the partner whose rate it counts against."}
+	ruleDropsKeys         = Rule{"OD016", "a collapsible topic type goes to a partner that drops idempotency keys", "Make the type once-only, or remove it from the partner's topics."}
+	ruleUnknownTopic      = Rule{"OD017", "a partner names an unknown topic type", "Correct the name, or add the type."}
+	rulePartnerOverload   = Rule{"OD018", "the load of a partner exceeds its rate", "Lower load, or agree on a higher rate with the partner."}
+	ruleFewSlots          = Rule{"OD019", "the slots are too few for the stated load", "Raise dispatcher.slots, or lower load.rate."}
+	ruleFewHeld           = Rule{"OD020", "dispatcher.held is too low for the stated load", "Raise dispatcher.held to at least one second of load."}
+	ruleSmallDisk         = Rule{"OD021", "the ledger cannot hold the stated load for its TTL", "Raise limits.disk_mb, or lower the TTL or load.body."}
+	ruleLoadSum           = Rule{"OD022", "the partners' loads do not add up to the stated load", "Make the partners' load add up to load.rate, within a tenth."}
+	ruleLayoutValue       = Rule{"OD023", "a layout setting has an unknown value", "Use one of the named values, or omit the key for the old layout's."}
+	ruleRateNotListed     = Rule{"OD024", "a rate is set although the list has no rates", "Remove the rate, or correct layout.rates."}
+	ruleRoutes            = Rule{"OD025", "partners of one kind have different or unknown routes", "Set shared or apart, the same for all partners of the kind."}
+	ruleZone              = Rule{"OD026", "a zone has no endpoint, is repeated or has a fee out of range", "List each zone of the endpoints once, with a fee from 0 to 1."}
 
-	sameName   = Rule{"OD040", "two applications have one name", "Rename one."}
-	sameListen = Rule{"OD041", "two applications listen on one address", "Give each its own."}
-	sameState  = Rule{"OD042", "two applications share a state folder", "Give each its own."}
-	otherRate  = Rule{"OD043", "two applications claim one partner with different rates", "Agree on the rate that the partner takes from all, and write it in both."}
-	together   = Rule{"OD044", "applications together send a partner more than it takes", "Lower their loads to it until they add up to its rate."}
+	ruleSameName      = Rule{"OD040", "two applications have the same name", "Rename one."}
+	ruleSameListen    = Rule{"OD041", "two applications listen on the same address", "Give each its own address."}
+	ruleSameState     = Rule{"OD042", "two applications share a state folder", "Give each its own folder."}
+	ruleRateMismatch  = Rule{"OD043", "two applications state different rates for one partner", "Agree on the rate that the partner takes from all applications, and set it in both."}
+	ruleFleetOverload = Rule{"OD044", "applications together send a partner more than its rate", "Lower their loads for it until they add up to its rate."}
 
-	loosened = Rule{"OD050", "a reload would loosen a once-only topic type", "Drain the application and restart it, so that nothing owed is under both readings."}
+	ruleLoosenedRepeat = Rule{"OD050", "a reload would loosen a once-only topic type", "Drain the application and restart it, so that no pending notification is under both settings."}
 )
 
-// Rules lists all rules.
+// Rules returns all rules.
 func Rules() []Rule {
-	return []Rule{unreadable, misspelt, unnamed, address, folder, figure, word, repeat, resent, forgotten, tooLate, noKey, nobody,
-		noEndpoint, claimed, dropsKeys, noTopic, tooMuch, fewSlots, littleRoom, littleDisk, unplaced,
-		layoutWord, noRates, routeWord, zoneFee, sameName, sameListen, sameState,
-		otherRate, together, loosened}
+	return []Rule{ruleUnreadable, ruleUnknownKey, ruleUniqueName, ruleAddress, ruleStateFolder, ruleRange, ruleAllowedValues, ruleRepeatKind, ruleOnceOnlyResends, ruleDedupWindow, ruleObjectivePastTTL, ruleOrderedWithoutKey, ruleEmptyList,
+		ruleNoEndpoint, ruleSharedEndpoint, ruleDropsKeys, ruleUnknownTopic, rulePartnerOverload, ruleFewSlots, ruleFewHeld, ruleSmallDisk, ruleLoadSum,
+		ruleLayoutValue, ruleRateNotListed, ruleRoutes, ruleZone, ruleSameName, ruleSameListen, ruleSameState,
+		ruleRateMismatch, ruleFleetOverload, ruleLoosenedRepeat}
 }
 
-// checker gathers what is wrong with one application.
+// checker collects the findings of one application.
 type checker struct {
 	*App
-	found []Finding
+	findings []Finding
 }
 
-func (c *checker) bad(r Rule, key, format string, args ...any) {
-	c.found = append(c.found, Finding{Rule: r.ID, File: c.File, Line: c.line(key), Key: key, Reason: fmt.Sprintf(format, args...), Remedy: r.Remedy})
+func (c *checker) report(r Rule, key, format string, args ...any) {
+	c.findings = append(c.findings, Finding{Rule: r.ID, File: c.File, Line: c.lineOf(key), Key: key, Reason: fmt.Sprintf(format, args...), Remedy: r.Remedy})
 }
 
-// between refuses what is out of its range, no number among it.
-func (c *checker) between(key string, v, least, most float64) {
-	if !(v >= least && v <= most) {
-		c.bad(figure, key, "%v is not from %v to %v", v, least, most)
+// checkRange reports v if it is not in the range from lowest to highest. NaN is out of every range.
+func (c *checker) checkRange(key string, v, lowest, highest float64) {
+	if !(v >= lowest && v <= highest) {
+		c.report(ruleRange, key, "%v is not in the range %v to %v", v, lowest, highest)
 	}
 }
 
-func (c *checker) oneOf(key, v string, list ...string) {
-	if !slices.Contains(list, v) {
-		c.bad(word, key, "%q is none of %v", v, list)
+func (c *checker) checkOneOf(key, v string, allowed ...string) {
+	if !slices.Contains(allowed, v) {
+		c.report(ruleAllowedValues, key, "%q is not one of %v", v, allowed)
 	}
 }
 
-func (c *checker) addr(key, v string) {
+func (c *checker) checkAddress(key, v string) {
 	host, port, err := net.SplitHostPort(v)
-	n, perr := strconv.Atoi(port)
-	if err != nil || perr != nil || host == "" || n < 1 || n > 65535 {
-		c.bad(address, key, "%q is not host:port", v)
+	portNumber, portErr := strconv.Atoi(port)
+	if err != nil || portErr != nil || host == "" || portNumber < 1 || portNumber > 65535 {
+		c.report(ruleAddress, key, "%q is not host:port", v)
 	}
 }
 
-// names refuses what has no name, or another's.
-func (c *checker) names(seen map[string]bool, key, v string) {
+// checkUniqueName reports v if it is empty or already in seen, and adds it to seen.
+func (c *checker) checkUniqueName(seen map[string]bool, key, v string) {
 	if v == "" || seen[v] {
-		c.bad(unnamed, key, "%q is empty or stands twice", v)
+		c.report(ruleUniqueName, key, "%q is empty or not unique", v)
 	}
 	seen[v] = true
 }
 
-// Check tells all that is wrong with one application.
+// Check returns all findings of one application.
 func Check(a *App) []Finding {
 	c := &checker{App: a}
-	c.names(map[string]bool{}, "name", a.Name)
-	c.addr("listen", a.Listen)
-	c.addr("discovery", a.Discovery)
+	c.checkUniqueName(map[string]bool{}, "name", a.Name)
+	c.checkAddress("listen", a.Listen)
+	c.checkAddress("discovery", a.Discovery)
 	if a.State == "" {
-		c.bad(folder, "state", "it is empty")
+		c.report(ruleStateFolder, "state", "state is empty")
 	}
-	c.between("limits.cores", a.Limits.Cores, 0.05, 1024)
-	c.between("limits.memory_mb", a.Limits.MemoryMB, 16, 1e6)
-	c.between("limits.sockets", float64(a.Limits.Sockets), 64, 1e7)
-	c.between("limits.disk_mb", a.Limits.DiskMB, 0.6, 1e6)
-	c.oneOf("ledger.sync", a.Ledger.Sync, "none", "batch", "always")
+	c.checkRange("limits.cores", a.Limits.Cores, 0.05, 1024)
+	c.checkRange("limits.memory_mb", a.Limits.MemoryMB, 16, 1e6)
+	c.checkRange("limits.sockets", float64(a.Limits.Sockets), 64, 1e7)
+	c.checkRange("limits.disk_mb", a.Limits.DiskMB, 0.6, 1e6)
+	c.checkOneOf("ledger.sync", a.Ledger.Sync, "none", "batch", "always")
 	d := a.Dispatcher
-	c.between("dispatcher.count", float64(d.Count), 1, 10_000)
-	c.between("dispatcher.slots", float64(d.Slots), 2, 1e6)
-	c.between("dispatcher.held", float64(d.Held), 1, 1e7)
-	c.between("dispatcher.pushes", float64(d.Pushes), 1, 100)
-	c.between("dispatcher.tick", d.Tick.Seconds, 0.0005, 1)
-	c.between("dispatcher.dial", d.Dial.Seconds, 0.01, 60)
-	c.between("dispatcher.idle", d.Idle.Seconds, 0.1, 3600)
-	c.between("dispatcher.rest", d.Rest.Seconds, 0, 60)
-	c.between("returns.cold_from", a.Returns.ColdFrom, 0.01, 1)
-	c.between("returns.cold_span", a.Returns.ColdSpan.Seconds, 0.1, 3600)
-	c.between("returns.multiple", a.Returns.Multiple, 1, 100)
-	c.between("returns.fall", a.Returns.Fall.Seconds, 0.1, 600)
-	c.between("load.rate", a.Load.Rate, 0.001, 1e6)
-	c.between("load.body", float64(a.Load.Body), 0, 64<<10)
-	c.topics()
+	c.checkRange("dispatcher.count", float64(d.Count), 1, 10_000)
+	c.checkRange("dispatcher.slots", float64(d.Slots), 2, 1e6)
+	c.checkRange("dispatcher.held", float64(d.Held), 1, 1e7)
+	c.checkRange("dispatcher.pushes", float64(d.Pushes), 1, 100)
+	c.checkRange("dispatcher.tick", d.Tick.Seconds, 0.0005, 1)
+	c.checkRange("dispatcher.dial", d.Dial.Seconds, 0.01, 60)
+	c.checkRange("dispatcher.idle", d.Idle.Seconds, 0.1, 3600)
+	c.checkRange("dispatcher.rest", d.Rest.Seconds, 0, 60)
+	c.checkRange("returns.cold_from", a.Returns.ColdFrom, 0.01, 1)
+	c.checkRange("returns.cold_span", a.Returns.ColdSpan.Seconds, 0.1, 3600)
+	c.checkRange("returns.multiple", a.Returns.Multiple, 1, 100)
+	c.checkRange("returns.fall", a.Returns.Fall.Seconds, 0.1, 600)
+	c.checkRange("load.rate", a.Load.Rate, 0.001, 1e6)
+	c.checkRange("load.body", float64(a.Load.Body), 0, 64<<10)
+	c.checkTopics()
 	seen := map[string]bool{}
 	for i, t := range a.Tenants {
-		at := fmt.Sprintf("tenants[%d].", i)
-		c.names(seen, at+"name", t.Name)
-		c.between(at+"rate", t.Rate, 0.001, 1e6)
+		prefix := fmt.Sprintf("tenants[%d].", i)
+		c.checkUniqueName(seen, prefix+"name", t.Name)
+		c.checkRange(prefix+"rate", t.Rate, 0.001, 1e6)
 	}
-	c.partners()
-	c.layout()
-	c.carries()
-	return c.found
+	c.checkPartners()
+	c.checkLayout()
+	c.checkCapacity()
+	return c.findings
 }
 
-func (c *checker) topics() {
+func (c *checker) checkTopics() {
 	if len(c.Topics) == 0 {
-		c.bad(nobody, "topics", "there is no topic type")
+		c.report(ruleEmptyList, "topics", "there are no topic types")
 	}
 	seen := map[string]bool{}
 	for i, t := range c.Topics {
-		at := fmt.Sprintf("topics[%d].", i)
-		c.names(seen, at+"name", t.Name)
+		prefix := fmt.Sprintf("topics[%d].", i)
+		c.checkUniqueName(seen, prefix+"name", t.Name)
 		if t.Repeat != Repeatable && t.Repeat != Collapsible && t.Repeat != OnceOnly {
-			c.bad(repeat, at+"repeat", "%q is no repeat kind", t.Repeat)
+			c.report(ruleRepeatKind, prefix+"repeat", "%q is not a repeat kind", t.Repeat)
 		}
-		c.between(at+"resends", float64(t.Resends), 0, 100)
-		c.between(at+"objective", t.Objective.Seconds, 0.01, 3600)
-		c.between(at+"ttl", t.TTL.Seconds, 0.05, 86400)
-		c.between(at+"benefit", t.Benefit, 0.001, 1e6)
-		c.between(at+"late_benefit", t.LateBenefit, 0, 1)
+		c.checkRange(prefix+"resends", float64(t.Resends), 0, 100)
+		c.checkRange(prefix+"objective", t.Objective.Seconds, 0.01, 3600)
+		c.checkRange(prefix+"ttl", t.TTL.Seconds, 0.05, 86400)
+		c.checkRange(prefix+"benefit", t.Benefit, 0.001, 1e6)
+		c.checkRange(prefix+"late_benefit", t.LateBenefit, 0, 1)
 		if t.Objective.Seconds > t.TTL.Seconds {
-			c.bad(tooLate, at+"objective", "%v is past the TTL of %v", t.Objective, t.TTL)
+			c.report(ruleObjectivePastTTL, prefix+"objective", "%v is longer than the TTL of %v", t.Objective, t.TTL)
 		}
 		if t.Repeat == OnceOnly && t.Resends > 0 {
-			c.bad(resent, at+"resends", "%d resends could run a once-only %q again", t.Resends, t.Name)
+			c.report(ruleOnceOnlyResends, prefix+"resends", "%d resends could run a once-only %q more than once", t.Resends, t.Name)
 		}
-		const patience = 2 // a push is waited for so many objectives at most
-		if need := (Duration{float64(t.Resends*patience) * t.Objective.Seconds}); t.Repeat == Collapsible && t.Memory.Seconds < need.Seconds {
-			c.bad(forgotten, at+"memory", "%v is less than the %v that %d resends may take", t.Memory, need, t.Resends)
+		const objectivesPerPush = 2 // the longest wait for a push, in objectives
+		if needed := (Duration{float64(t.Resends*objectivesPerPush) * t.Objective.Seconds}); t.Repeat == Collapsible && t.Memory.Seconds < needed.Seconds {
+			c.report(ruleDedupWindow, prefix+"memory", "%v is less than the %v that %d resends may take", t.Memory, needed, t.Resends)
 		}
 		if t.Ordered && t.Key == "" {
-			c.bad(noKey, at+"ordered", "%q has no key", t.Name)
+			c.report(ruleOrderedWithoutKey, prefix+"ordered", "%q has no key", t.Name)
 		}
 	}
 }
 
-func (c *checker) partners() {
+func (c *checker) checkPartners() {
 	if len(c.Partners) == 0 {
-		c.bad(nobody, "partners", "there is no partner")
+		c.report(ruleEmptyList, "partners", "there are no partners")
 	}
 	names, dests, ids, owner := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]string{}
 	for i, p := range c.Partners {
-		at := fmt.Sprintf("partners[%d].", i)
-		c.names(names, at+"name", p.Name)
-		c.names(dests, at+"dest", strconv.Itoa(p.Dest))
-		c.between(at+"dest", float64(p.Dest), 0, 1e9)
+		prefix := fmt.Sprintf("partners[%d].", i)
+		c.checkUniqueName(names, prefix+"name", p.Name)
+		c.checkUniqueName(dests, prefix+"dest", strconv.Itoa(p.Dest))
+		c.checkRange(prefix+"dest", float64(p.Dest), 0, 1e9)
 		if unlisted := c.Layout.Rates == RatesNone; unlisted && p.Rate != 0 {
-			c.bad(noRates, at+"rate", "%v a second for %q where layout.rates is %q", p.Rate, p.Name, c.Layout.Rates)
+			c.report(ruleRateNotListed, prefix+"rate", "%v per second for %q, but layout.rates is %q", p.Rate, p.Name, c.Layout.Rates)
 		} else if !unlisted {
-			c.between(at+"rate", p.Rate, 0.001, 1e6)
+			c.checkRange(prefix+"rate", p.Rate, 0.001, 1e6)
 		}
-		c.between(at+"load", p.Load, 0, 1e6)
-		c.between(at+"answer", p.Answer.Seconds, 0, 600)
-		c.between(at+"batch", float64(p.Batch), 1, 1000)
-		c.oneOf(at+"protocol", p.Protocol, "http")
+		c.checkRange(prefix+"load", p.Load, 0, 1e6)
+		c.checkRange(prefix+"answer", p.Answer.Seconds, 0, 600)
+		c.checkRange(prefix+"batch", float64(p.Batch), 1, 1000)
+		c.checkOneOf(prefix+"protocol", p.Protocol, "http")
 		if p.Rate > 0 && p.Load > p.Rate*float64(p.Batch) {
-			c.bad(tooMuch, at+"load", "%v a second is more than %q takes: %v calls of %d", p.Load, p.Name, p.Rate, p.Batch)
+			c.report(rulePartnerOverload, prefix+"load", "%v notifications per second are more than %q takes: %v calls per second of %d", p.Load, p.Name, p.Rate, p.Batch)
 		}
 		for k, name := range p.Topics {
 			if !slices.ContainsFunc(c.Topics, func(t Topic) bool { return t.Name == name }) {
-				c.bad(noTopic, at+"topics", "%q, number %d, is no topic type here", name, k+1)
+				c.report(ruleUnknownTopic, prefix+"topics", "%q, entry %d, is not a topic type of this file", name, k+1)
 			}
 		}
 		for _, t := range c.Topics {
 			if p.DropsKeys && t.Repeat == Collapsible && (len(p.Topics) == 0 || slices.Contains(p.Topics, t.Name)) {
-				c.bad(dropsKeys, at+"drops_keys", "%q would be run again by %q", t.Name, p.Name)
+				c.report(ruleDropsKeys, prefix+"drops_keys", "a resent %q would run again at %q", t.Name, p.Name)
 			}
 		}
 		if len(p.Endpoints) == 0 {
-			c.bad(noEndpoint, at+"endpoints", "%q has none", p.Name)
+			c.report(ruleNoEndpoint, prefix+"endpoints", "%q has no endpoint", p.Name)
 		}
 		for k, e := range p.Endpoints {
-			at := fmt.Sprintf("%sendpoints[%d].", at, k)
-			c.names(ids, at+"id", e.ID)
-			c.addr(at+"addr", e.Addr)
+			prefix := fmt.Sprintf("%sendpoints[%d].", prefix, k)
+			c.checkUniqueName(ids, prefix+"id", e.ID)
+			c.checkAddress(prefix+"addr", e.Addr)
 			if other, ok := owner[e.Addr]; ok && other != p.Name {
-				c.bad(claimed, at+"addr", "%s is under %q and %q", e.Addr, other, p.Name)
+				c.report(ruleSharedEndpoint, prefix+"addr", "%s belongs to %q and %q", e.Addr, other, p.Name)
 			}
 			owner[e.Addr] = p.Name
 		}
 	}
 }
 
-// layout judges how the platform is said to be laid out.
-func (c *checker) layout() {
+// checkLayout checks the layout section and the routes and zones that depend on it.
+func (c *checker) checkLayout() {
 	l := c.Layout
-	for _, x := range []struct{ key, v, old, next string }{{"list", l.List, ListPushed, ListOnDemand}, {"rates", l.Rates, RatesListed, RatesNone},
+	for _, setting := range []struct{ key, v, old, next string }{{"list", l.List, ListPushed, ListOnDemand}, {"rates", l.Rates, RatesListed, RatesNone},
 		{"refusals", l.Refusals, RefusalsPriced, RefusalsFree}, {"late", l.Late, LateLinear, LateHalving}} {
-		if x.v != x.old && x.v != x.next {
-			c.bad(layoutWord, "layout."+x.key, "%q is neither %q nor %q", x.v, x.old, x.next)
+		if setting.v != setting.old && setting.v != setting.next {
+			c.report(ruleLayoutValue, "layout."+setting.key, "%q is neither %q nor %q", setting.v, setting.old, setting.next)
 		}
 	}
-	routes, in := map[string]string{}, map[string]bool{}
+	routesByKind, usedZones := map[string]string{}, map[string]bool{}
 	for i, p := range c.Partners {
-		if _, ok := routes[p.Kind]; !ok {
-			routes[p.Kind] = p.Routes
+		if _, ok := routesByKind[p.Kind]; !ok {
+			routesByKind[p.Kind] = p.Routes
 		}
-		if p.Routes != RoutesShared && p.Routes != RoutesSeparate || p.Routes != routes[p.Kind] {
-			c.bad(routeWord, fmt.Sprintf("partners[%d].routes", i), "%q for %q, of kind %q", p.Routes, p.Name, p.Kind)
+		if p.Routes != RoutesShared && p.Routes != RoutesSeparate || p.Routes != routesByKind[p.Kind] {
+			c.report(ruleRoutes, fmt.Sprintf("partners[%d].routes", i), "%q for %q, of kind %q", p.Routes, p.Name, p.Kind)
 		}
 		for _, e := range p.Endpoints {
-			in[e.Zone] = true
+			usedZones[e.Zone] = true
 		}
 	}
 	for i, z := range c.Zones {
-		if at := fmt.Sprintf("zones[%d].", i); !in[z.Name] || z.Name == "" {
-			c.bad(zoneFee, at+"name", "%q is empty, stands twice, or no endpoint is in it", z.Name)
+		if prefix := fmt.Sprintf("zones[%d].", i); !usedZones[z.Name] || z.Name == "" {
+			c.report(ruleZone, prefix+"name", "%q is empty, repeated or the zone of no endpoint", z.Name)
 		} else if !(z.Fee >= 0 && z.Fee <= 1) {
-			c.bad(zoneFee, at+"fee", "%v is not from 0 to 1", z.Fee)
+			c.report(ruleZone, prefix+"fee", "%v is not in the range 0 to 1", z.Fee)
 		}
-		in[z.Name] = false
+		usedZones[z.Name] = false
 	}
 }
 
-// carries judges whether the stated load can be carried.
-func (c *checker) carries() {
-	rate, busy, ttl := c.Load.Rate/float64(max(1, c.Dispatcher.Count)), 0.0, 0.0
-	placed := 0.0
+// checkCapacity checks whether slots, room and disk suffice for the stated load.
+func (c *checker) checkCapacity() {
+	rate, callsOut, ttl := c.Load.Rate/float64(max(1, c.Dispatcher.Count)), 0.0, 0.0
+	partnerLoad := 0.0
 	for _, p := range c.Partners {
-		placed += p.Load
-		busy += p.Load / float64(max(1, p.Batch)) * p.Answer.Seconds / float64(max(1, c.Dispatcher.Count))
+		partnerLoad += p.Load
+		callsOut += p.Load / float64(max(1, p.Batch)) * p.Answer.Seconds / float64(max(1, c.Dispatcher.Count))
 	}
 	for _, t := range c.Topics {
 		ttl = max(ttl, t.TTL.Seconds)
 	}
-	const within = 0.1
-	if placed > 0 && math.Abs(placed-c.Load.Rate) > within*c.Load.Rate {
-		c.bad(unplaced, "load.rate", "partners' loads add up to %.4g, of %.4g stated", placed, c.Load.Rate)
+	const tolerance = 0.1
+	if partnerLoad > 0 && math.Abs(partnerLoad-c.Load.Rate) > tolerance*c.Load.Rate {
+		c.report(ruleLoadSum, "load.rate", "partners' loads add up to %.4g, load.rate is %.4g", partnerLoad, c.Load.Rate)
 	}
-	if busy > float64(c.Dispatcher.Slots) {
-		c.bad(fewSlots, "dispatcher.slots", "%.4g calls are out at once on average, of %d slots", busy, c.Dispatcher.Slots)
+	if callsOut > float64(c.Dispatcher.Slots) {
+		c.report(ruleFewSlots, "dispatcher.slots", "%.4g calls are out at once on average, with %d slots", callsOut, c.Dispatcher.Slots)
 	}
 	if rate > float64(c.Dispatcher.Held) {
-		c.bad(littleRoom, "dispatcher.held", "%.4g come in a second, and %d may be held", rate, c.Dispatcher.Held)
+		c.report(ruleFewHeld, "dispatcher.held", "%.4g notifications arrive per second, and %d may be held", rate, c.Dispatcher.Held)
 	}
-	const record, share = 600, 0.55 // bytes beside a body; of the folder, what may be owed
+	const recordBytes, pendingShare = 600, 0.55 // bytes of a record without its body; share of the folder for pending notifications
 	held := min(rate*ttl, float64(c.Dispatcher.Held))
-	if need := held * float64(record+c.Load.Body) / 1e6; need > share*c.Limits.DiskMB {
-		c.bad(littleDisk, "limits.disk_mb", "%.0f notifications held take %.3g MB, of %.3g that may be owed", held, need, share*c.Limits.DiskMB)
+	if neededMB := held * float64(recordBytes+c.Load.Body) / 1e6; neededMB > pendingShare*c.Limits.DiskMB {
+		c.report(ruleSmallDisk, "limits.disk_mb", "%.0f pending notifications take %.3g MB, and %.3g MB are available for them", held, neededMB, pendingShare*c.Limits.DiskMB)
 	}
 }
 
-// CheckFleet tells what is wrong between applications that each are good.
-func CheckFleet(all []*App) []Finding {
+// CheckFleet returns the findings between applications that have none of their own.
+func CheckFleet(apps []*App) []Finding {
 	type claim struct {
 		app  *App
 		key  string
 		rate float64
 		load float64
 	}
-	var found []Finding
-	bad := func(a *App, r Rule, key, format string, args ...any) {
-		found = append(found, Finding{Rule: r.ID, File: a.File, Line: a.line(key), Key: key, Reason: fmt.Sprintf(format, args...), Remedy: r.Remedy})
+	var findings []Finding
+	report := func(a *App, r Rule, key, format string, args ...any) {
+		findings = append(findings, Finding{Rule: r.ID, File: a.File, Line: a.lineOf(key), Key: key, Reason: fmt.Sprintf(format, args...), Remedy: r.Remedy})
 	}
 	names, listens, states, claims := map[string]*App{}, map[string]*App{}, map[string]*App{}, map[string][]claim{}
-	for _, a := range all {
-		for _, x := range []struct {
+	for _, a := range apps {
+		for _, field := range []struct {
 			seen   map[string]*App
 			rule   Rule
 			key, v string
-		}{{names, sameName, "name", a.Name}, {listens, sameListen, "listen", a.Listen}, {states, sameState, "state", a.State}} {
-			if other := x.seen[x.v]; other != nil {
-				bad(a, x.rule, x.key, "%q is also %s's", x.v, other.File)
+		}{{names, ruleSameName, "name", a.Name}, {listens, ruleSameListen, "listen", a.Listen}, {states, ruleSameState, "state", a.State}} {
+			if other := field.seen[field.v]; other != nil {
+				report(a, field.rule, field.key, "%q is also used by %s", field.v, other.File)
 				continue
 			}
-			x.seen[x.v] = a
+			field.seen[field.v] = a
 		}
 		for i, p := range a.Partners {
 			if len(p.Endpoints) == 0 {
 				continue
 			}
 			claims[p.Name] = append(claims[p.Name], claim{a, fmt.Sprintf("partners[%d].", i), p.Rate, p.Load / float64(max(1, p.Batch))})
-			list := claims[p.Name]
-			if first := list[0]; first.rate != p.Rate {
-				bad(a, otherRate, list[len(list)-1].key+"rate", "%q takes %v here and %v in %s", p.Name, p.Rate, first.rate, first.app.File)
+			partnerClaims := claims[p.Name]
+			if first := partnerClaims[0]; first.rate != p.Rate {
+				report(a, ruleRateMismatch, partnerClaims[len(partnerClaims)-1].key+"rate", "%q has rate %v here and %v in %s", p.Name, p.Rate, first.rate, first.app.File)
 			}
-			sum := 0.0
-			for _, x := range list {
-				sum += x.load
+			load := 0.0
+			for _, c := range partnerClaims {
+				load += c.load
 			}
-			if list[0].rate > 0 && sum > list[0].rate && sum-list[len(list)-1].load <= list[0].rate && len(list) > 1 {
-				bad(a, together, list[len(list)-1].key+"load", "with this, %d applications send %q %.4g calls a second, of %v", len(list), p.Name, sum, list[0].rate)
+			if partnerClaims[0].rate > 0 && load > partnerClaims[0].rate && load-partnerClaims[len(partnerClaims)-1].load <= partnerClaims[0].rate && len(partnerClaims) > 1 {
+				report(a, ruleFleetOverload, partnerClaims[len(partnerClaims)-1].key+"load", "%d applications together send %q %.4g calls per second, and its rate is %v", len(partnerClaims), p.Name, load, partnerClaims[0].rate)
 			}
 		}
 	}
-	return found
+	return findings
 }
 
-// CheckReload tells what keeps a new file from taking an old one's place while the process runs.
+// CheckReload returns the findings that forbid replacing old by next while the process runs.
 func CheckReload(old, next *App) []Finding {
 	c := &checker{App: next}
 	for i, t := range next.Topics {
-		for _, was := range old.Topics {
-			if was.Name == t.Name && was.Repeat == OnceOnly && t.Repeat != OnceOnly {
-				c.bad(loosened, fmt.Sprintf("topics[%d].repeat", i), "%q was once-only and would be %s", t.Name, t.Repeat)
+		for _, oldTopic := range old.Topics {
+			if oldTopic.Name == t.Name && oldTopic.Repeat == OnceOnly && t.Repeat != OnceOnly {
+				c.report(ruleLoosenedRepeat, fmt.Sprintf("topics[%d].repeat", i), "%q is once-only and would become %s", t.Name, t.Repeat)
 			}
 		}
 	}
-	return c.found
+	return c.findings
 }
