--- a/cmd/orchiddrift/commands_test.go
+++ b/cmd/orchiddrift/commands_test.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// said runs the program in a folder, "" for this one, and gives its exit code and all that it printed.
-func said(dir string, args ...string) (int, string) {
+// runProgram runs the program in a folder, the current one if dir is empty, and returns its exit code and output.
+func runProgram(dir string, args ...string) (int, string) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Dir = dir
 	cmd.Env = append(os.Environ(), "ORCHIDDRIFT_TEST=args", "ORCHIDDRIFT_ARGS="+strings.Join(args, "\n"))
@@ -17,14 +17,15 @@
 	return cmd.ProcessState.ExitCode(), string(out)
 }
 
-// command runs the program with arguments and prints its exit code, and what it says in lines that hold a word.
-func command(show string, args ...string) {
+// printCommand runs the program and prints its exit code, the lines of output that contain filter, and the files that it
+// left.
+func printCommand(filter string, args ...string) {
 	dir, _ := os.MkdirTemp("", "orchiddrift")
 	defer os.RemoveAll(dir)
-	code, out := said(dir, args...)
+	code, out := runProgram(dir, args...)
 	fmt.Println(strings.Join(args, " ")+":", code)
 	for _, line := range strings.Split(out, "\n") {
-		if strings.Contains(line, show) {
+		if strings.Contains(line, filter) {
 			fmt.Println(" ", line)
 		}
 	}
@@ -34,17 +35,17 @@
 	}
 }
 
-// The exit codes: 0, 1 failure, 2 usage, 3 a rule broken; each error is one line.
+// Exit codes are 0 for success, 1 for failure, 2 for usage errors and 3 for a violated rule. Each error is one line.
 func Example_exitCodes() {
-	command("largest partner refuses", "lab", "list")
-	command("orchiddrift:", "lab", "run", "outtage")
-	command("orchiddrift:", "lab", "run", "--sed", "3")
-	command("orchiddrift:", "lab", "run", "calm", "--repeat", "0")
-	command("orchiddrift:", "run", "--log-level", "loud")
-	command("orchiddrift:", "run")
-	command("orchiddrift:", "lab", "report", "nowhere.json")
-	command("orchiddrift:", "ledger", "verify", "nowhere")
-	command("rule crash", "lab", "run", "rules", "--length", "2", "--planted", "crash", "-q")
+	printCommand("largest partner refuses", "lab", "list")
+	printCommand("orchiddrift:", "lab", "run", "outtage")
+	printCommand("orchiddrift:", "lab", "run", "--sed", "3")
+	printCommand("orchiddrift:", "lab", "run", "calm", "--repeat", "0")
+	printCommand("orchiddrift:", "run", "--log-level", "loud")
+	printCommand("orchiddrift:", "run")
+	printCommand("orchiddrift:", "lab", "report", "nowhere.json")
+	printCommand("orchiddrift:", "ledger", "verify", "nowhere")
+	printCommand("rule crash", "lab", "run", "rules", "--length", "2", "--planted", "crash", "-q")
 	// Output:
 	// lab list: 0
 	//   outage           8 s   the largest partner refuses connections for a while and comes back cold
--- a/cmd/orchiddrift/config.go
+++ b/cmd/orchiddrift/config.go
@@ -14,178 +14,179 @@
 	"orchiddrift/appconfig"
 )
 
-// newConfig checks applications' configuration files and writes the platform's form of them.
-func newConfig() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Check applications' configurations, and convert them"}
+// newConfigCommand returns the command that checks applications' configuration files and converts them.
+func newConfigCommand() *cobra.Command {
+	c := &cobra.Command{Use: "config", Short: "Check and convert applications' configurations"}
 	var asJSON bool
 	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print findings as JSON")
-	tell := func(to io.Writer, found []appconfig.Finding) error {
+	printFindings := func(to io.Writer, findings []appconfig.Finding) error {
 		if asJSON {
-			if found == nil {
-				found = []appconfig.Finding{}
+			if findings == nil {
+				findings = []appconfig.Finding{}
 			}
-			e := json.NewEncoder(to)
-			e.SetIndent("", " ")
-			if err := e.Encode(found); err != nil {
-				return failed(err)
+			encoder := json.NewEncoder(to)
+			encoder.SetIndent("", " ")
+			if err := encoder.Encode(findings); err != nil {
+				return asFailure(err)
 			}
 		} else {
-			for _, f := range found {
+			for _, f := range findings {
 				fmt.Fprintln(to, f)
 			}
 		}
-		if len(found) > 0 {
-			return failed(fmt.Errorf("refused: %d things are wrong", len(found)))
+		if len(findings) > 0 {
+			return asFailure(fmt.Errorf("refused: %d findings", len(findings)))
 		}
 		return nil
 	}
 	check := func(cmd *cobra.Command, files []string) error {
-		all, found := readApps(files)
-		if len(found) == 0 {
-			found = appconfig.CheckFleet(all)
+		apps, findings := readAndCheck(files)
+		if len(findings) == 0 {
+			findings = appconfig.CheckFleet(apps)
 		}
-		return tell(cmd.OutOrStdout(), found)
+		return printFindings(cmd.OutOrStdout(), findings)
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "check FILE...", Short: "Check files, each and together; exit 1 where anything is wrong", Args: cobra.MinimumNArgs(1), RunE: check},
+		&cobra.Command{Use: "check FILE...", Short: "Check files, each and together; exit 1 if there are findings", Args: cobra.MinimumNArgs(1), RunE: check},
 		&cobra.Command{Use: "fleet FOLDER", Short: "Check all files of a folder together", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				files, err := filepath.Glob(filepath.Join(args[0], "*.toml"))
 				if err == nil && len(files) == 0 {
-					err = fmt.Errorf("%s: holds no .toml file", args[0])
+					err = fmt.Errorf("%s: no .toml file found", args[0])
 				}
 				if err != nil {
-					return failed(err)
+					return asFailure(err)
 				}
 				return check(cmd, files)
 			}},
-		&cobra.Command{Use: "convert FILE", Short: "Write the platform's form of a good file, for ROUTER_CONFIG", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "convert FILE", Short: "Convert a valid file to the platform's format, for ROUTER_CONFIG", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				all, found := readApps(args)
-				if len(found) > 0 {
-					return tell(cmd.ErrOrStderr(), found)
+				apps, findings := readAndCheck(args)
+				if len(findings) > 0 {
+					return printFindings(cmd.ErrOrStderr(), findings)
 				}
-				text, err := all[0].PlatformConfig()
+				text, err := apps[0].PlatformConfig()
 				if err == nil {
 					_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s\n", text)
 				}
-				return failed(err)
+				return asFailure(err)
 			}},
-		&cobra.Command{Use: "diff OLD NEW", Short: "Tell what keeps a new file from being taken in by a reload", Args: cobra.ExactArgs(2),
+		&cobra.Command{Use: "diff OLD NEW", Short: "Report what forbids replacing OLD by NEW in a reload", Args: cobra.ExactArgs(2),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				all, found := readApps(args)
-				if len(found) == 0 {
-					found = appconfig.CheckReload(all[0], all[1])
+				apps, findings := readAndCheck(args)
+				if len(findings) == 0 {
+					findings = appconfig.CheckReload(apps[0], apps[1])
 				}
-				return tell(cmd.OutOrStdout(), found)
+				return printFindings(cmd.OutOrStdout(), findings)
 			}},
-		newMigrate(tell),
+		newMigrateCommand(printFindings),
 		&cobra.Command{Use: "rules", Short: "List the rules", Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				if asJSON {
-					e := json.NewEncoder(cmd.OutOrStdout())
-					e.SetIndent("", " ")
-					return failed(e.Encode(appconfig.Rules()))
+					encoder := json.NewEncoder(cmd.OutOrStdout())
+					encoder.SetIndent("", " ")
+					return asFailure(encoder.Encode(appconfig.Rules()))
 				}
-				t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
+				table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 				for _, r := range appconfig.Rules() {
-					fmt.Fprintf(t, "%s\t%s\t%s\n", r.ID, r.Description, r.Remedy)
+					fmt.Fprintf(table, "%s\t%s\t%s\n", r.ID, r.Description, r.Remedy)
 				}
-				return failed(t.Flush())
+				return asFailure(table.Flush())
 			}},
 	)
 	return c
 }
 
-// newMigrate turns a file of the old shape into its counterpart of the new one.
-func newMigrate(tell func(io.Writer, []appconfig.Finding) error) *cobra.Command {
-	var to string
-	var dry, force bool
-	c := &cobra.Command{Use: "migrate OLD -o NEW", Short: "Write a file's counterpart for routes apart and a list without rates", Args: cobra.ExactArgs(1)}
+// newMigrateCommand returns the command that migrates a file of the old layout to the new one.
+func newMigrateCommand(printFindings func(io.Writer, []appconfig.Finding) error) *cobra.Command {
+	var output string
+	var dryRun, force bool
+	c := &cobra.Command{Use: "migrate OLD -o NEW", Short: "Migrate a file to separate routes and a list without rates", Args: cobra.ExactArgs(1)}
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		if to == "" {
+		if output == "" {
 			return errors.New("-o is not given: name the file to write")
 		}
-		all, found := readApps(args)
-		if len(found) > 0 {
+		apps, findings := readAndCheck(args)
+		if len(findings) > 0 {
 			more := ""
-			if n := len(found) - 1; n > 0 {
+			if n := len(findings) - 1; n > 0 {
 				more = fmt.Sprintf(" (and %d more: see config check)", n)
 			}
-			return failed(fmt.Errorf("%s%s", found[0], more))
+			return asFailure(fmt.Errorf("%s%s", findings[0], more))
 		}
-		old := all[0]
+		old := apps[0]
 		if old.UsesNewLayout() {
-			return failed(fmt.Errorf("%s: is already of the new shape: it states its layout, zones or routes", args[0]))
+			return asFailure(fmt.Errorf("%s: already uses the new layout: it sets layout, zones or routes", args[0]))
 		}
 		text, notes, err := appconfig.Migrate(old)
 		if err != nil {
-			return failed(fmt.Errorf("%s: %w", args[0], err))
+			return asFailure(fmt.Errorf("%s: %w", args[0], err))
 		}
-		next, found := appconfig.Parse(to, text)
-		if next != nil {
-			found = append(found, appconfig.Check(next)...)
+		migrated, findings := appconfig.Parse(output, text)
+		if migrated != nil {
+			findings = append(findings, appconfig.Check(migrated)...)
 		}
-		if !dry {
-			if err := writeWhole(args[0], to, text, force); err != nil {
-				return failed(err)
+		if !dryRun {
+			if err := writeFileAtomically(args[0], output, text, force); err != nil {
+				return asFailure(err)
 			}
 		}
 		for _, n := range notes {
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], n)
 		}
-		return tell(cmd.OutOrStdout(), found)
+		return printFindings(cmd.OutOrStdout(), findings)
 	}
-	c.Flags().StringVarP(&to, "output", "o", "", "the file to write")
-	c.Flags().BoolVar(&dry, "dry-run", false, "print the same and write nothing")
-	c.Flags().BoolVar(&force, "force", false, "write over a file that is there")
+	c.Flags().StringVarP(&output, "output", "o", "", "the file to write")
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "print the notes and write nothing")
+	c.Flags().BoolVar(&force, "force", false, "overwrite an existing file")
 	return c
 }
 
-// writeWhole writes a file whole or not at all, never over the old one.
-func writeWhole(old, to string, text []byte, force bool) error {
-	was, err := os.Stat(old)
+// writeFileAtomically writes the whole target file or nothing. It never overwrites source, and another existing file only
+// with force.
+func writeFileAtomically(source, target string, text []byte, force bool) error {
+	sourceInfo, err := os.Stat(source)
 	if err != nil {
 		return err
 	}
-	if there, err := os.Stat(to); err == nil && (os.SameFile(was, there) || !force) {
-		return fmt.Errorf("%s: is there already: name another file, or use --force for one that is not the old file", to)
+	if targetInfo, err := os.Stat(target); err == nil && (os.SameFile(sourceInfo, targetInfo) || !force) {
+		return fmt.Errorf("%s: already exists: name another file, or use --force if it is not the old file", target)
 	}
-	f, err := os.CreateTemp(filepath.Dir(to), ".migrate-*")
+	f, err := os.CreateTemp(filepath.Dir(target), ".migrate-*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name())
 	_, err = f.Write(text)
 	if err == nil {
-		err = f.Chmod(was.Mode().Perm())
+		err = f.Chmod(sourceInfo.Mode().Perm())
 	}
 	if err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	switch {
 	case err != nil:
 		return err
 	case force:
-		return os.Rename(f.Name(), to)
+		return os.Rename(f.Name(), target)
 	}
-	return os.Link(f.Name(), to) // it fails where a file has come in the meantime
+	return os.Link(f.Name(), target) // fails if the file was created in the meantime
 }
 
-// readApps reads files and checks each by itself.
-func readApps(files []string) ([]*appconfig.App, []appconfig.Finding) {
-	var all []*appconfig.App
-	var found []appconfig.Finding
+// readAndCheck reads files and checks each on its own.
+func readAndCheck(files []string) ([]*appconfig.App, []appconfig.Finding) {
+	var apps []*appconfig.App
+	var findings []appconfig.Finding
 	for _, file := range files {
-		a, odd := appconfig.Read(file)
-		if found = append(found, odd...); a == nil {
+		app, readFindings := appconfig.Read(file)
+		if findings = append(findings, readFindings...); app == nil {
 			continue
 		}
-		found = append(found, appconfig.Check(a)...)
-		all = append(all, a)
+		findings = append(findings, appconfig.Check(app)...)
+		apps = append(apps, app)
 	}
-	return all, found
+	return apps, findings
 }
--- a/cmd/orchiddrift/lab.go
+++ b/cmd/orchiddrift/lab.go
@@ -21,24 +21,24 @@
 	"orchiddrift/lab/scenario"
 )
 
-// newLab is the laboratory's part of the command line.
-func newLab() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Play scenarios against real dispatchers on loopback, and judge them",
-		Long: `Play scenarios against real dispatchers on loopback, and judge them by the six rules.
+// newLabCommand returns the command of the laboratory.
+func newLabCommand() *cobra.Command {
+	c := &cobra.Command{Use: "lab", Short: "Run scenarios against real dispatchers on loopback, and check the rules",
+		Long: `Run scenarios against real dispatchers on loopback, and check the six rules.
 
-Partners, the platform's agent and clients are simulated. Exit codes: 0 all rules kept, 1 the run did not work or was
-interrupted, 2 usage, 3 a rule was broken.`}
-	c.AddCommand(newLabRun(), newLabList(), newLabShow(), newLabReport(), newLabSoak(), newSoakChild(), newPlanted())
+Partners, the platform's agent and clients are simulated. Exit codes: 0 all rules kept, 1 the run failed or was
+interrupted, 2 usage, 3 a rule was violated.`}
+	c.AddCommand(newLabRunCommand(), newLabListCommand(), newLabShowCommand(), newLabReportCommand(), newLabSoakCommand(), newSoakChildCommand(), newPlantedCommand())
 	return c
 }
 
-// labRun holds the flags of "lab run".
-type labRun struct {
+// labRunFlags holds the flags of "lab run".
+type labRunFlags struct {
 	seed         uint64
 	repeat       int
 	html, json   string
 	keep, state  string
-	planted      string
+	plantedRule  string
 	straight     bool
 	quiet        bool
 	length, rate float64
@@ -46,9 +46,9 @@
 	profile      bool
 }
 
-func newLabRun() *cobra.Command {
-	f := &labRun{}
-	c := &cobra.Command{Use: "run [SCENARIO...]", Short: "Play scenarios: shipped ones by name, or files; \"all\" for all shipped",
+func newLabRunCommand() *cobra.Command {
+	f := &labRunFlags{}
+	c := &cobra.Command{Use: "run [SCENARIO...]", Short: "Run scenarios: shipped ones by name, or files; \"all\" for all shipped",
 		ValidArgs: scenario.Shipped(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			switch {
@@ -60,76 +60,76 @@
 			return f.run(cmd, args)
 		}}
 	flags := c.Flags()
-	flags.Uint64Var(&f.seed, "seed", 0, "another seed than the scenario's")
-	flags.IntVar(&f.repeat, "repeat", 1, "play it so many times, each with the next seed")
-	flags.Float64Var(&f.length, "length", 0, "another length, in seconds")
-	flags.Float64Var(&f.rate, "rate", 0, "another load, in notifications a second")
-	flags.IntVar(&f.closed, "closed", 0, "a closed loop of so many connections in the place of the planned arrivals")
-	flags.StringVar(&f.html, "html", "report.html", "where the last run's report goes; \"\" for nowhere")
-	flags.StringVar(&f.json, "json", "", "where the figures go as JSON")
-	flags.StringVar(&f.keep, "keep", "", "a folder that keeps configurations, logs and the journal of what was seen")
-	flags.StringVar(&f.state, "state", "", "the folder in which dispatchers' lasting folders are made")
-	flags.BoolVar(&f.straight, "straight", false, "hand in straight to the partners, to measure without a dispatcher")
-	flags.StringVar(&f.planted, "planted", "none", "a dispatcher that breaks this rule on purpose in the real one's place; \"\" for one that keeps all")
-	flags.BoolVar(&f.profile, "profile", false, "with --keep: a CPU profile of each dispatcher beside its log")
-	flags.BoolVarP(&f.quiet, "quiet", "q", false, "no progress")
+	flags.Uint64Var(&f.seed, "seed", 0, "seed in place of the scenario's")
+	flags.IntVar(&f.repeat, "repeat", 1, "number of runs, each with the next seed")
+	flags.Float64Var(&f.length, "length", 0, "length in seconds in place of the scenario's")
+	flags.Float64Var(&f.rate, "rate", 0, "load in notifications per second in place of the scenario's")
+	flags.IntVar(&f.closed, "closed", 0, "number of connections of a closed loop that replaces the planned arrivals")
+	flags.StringVar(&f.html, "html", "report.html", "file for the report of the last run; \"\" for none")
+	flags.StringVar(&f.json, "json", "", "file for the figures as JSON")
+	flags.StringVar(&f.keep, "keep", "", "folder in which to keep configurations, logs and the journal of observations")
+	flags.StringVar(&f.state, "state", "", "folder in which to create the dispatchers' state folders")
+	flags.BoolVar(&f.straight, "straight", false, "submit directly to the partners, to measure without a dispatcher")
+	flags.StringVar(&f.plantedRule, "planted", "none", "replace the dispatcher by one that violates this rule on purpose; \"\" for one that violates none")
+	flags.BoolVar(&f.profile, "profile", false, "with --keep: write a CPU profile of each dispatcher beside its log")
+	flags.BoolVarP(&f.quiet, "quiet", "q", false, "print no progress")
 	return c
 }
 
-// run plays the scenarios one after another. Results are written as they come, so that what ends early leaves them.
-func (f *labRun) run(cmd *cobra.Command, names []string) error {
+// run runs the scenarios one after another. It writes the results after each, so that an early end keeps them.
+func (f *labRunFlags) run(cmd *cobra.Command, names []string) error {
 	if f.repeat < 1 || f.repeat > 100 {
 		return fmt.Errorf("--repeat cannot be %d: give 1 to 100", f.repeat)
 	}
-	var all []*scenario.Scenario // read before the first is played: a bad one is told at once
+	var scenarios []*scenario.Scenario // all are read before the first run, so that an invalid one is reported at once
 	for _, name := range names {
 		for i := range f.repeat {
-			s, err := f.scenario(name, uint64(i))
+			s, err := f.openScenario(name, uint64(i))
 			if err != nil {
-				return failed(err)
+				return asFailure(err)
 			}
-			all = append(all, s)
+			scenarios = append(scenarios, s)
 		}
 	}
-	if f.profile && (f.keep == "" || f.planted != "none") {
+	if f.profile && (f.keep == "" || f.plantedRule != "none") {
 		return errors.New("--profile needs --keep, and a real dispatcher")
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
-		return failed(err)
+		return asFailure(err)
 	}
-	command := fleet.Command{Path: self, Args: []string{"run"}, Profile: f.profile}
-	if f.planted != "none" {
-		command.Args = []string{"lab", "planted", f.planted}
+	command := fleet.Command{Path: executable, Args: []string{"run"}, Profile: f.profile}
+	if f.plantedRule != "none" {
+		command.Args = []string{"lab", "planted", f.plantedRule}
 	}
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var file report.File
-	for _, s := range all {
+	var results report.File
+	for _, s := range scenarios {
 		folder := f.keep
-		if folder != "" && len(all) > 1 {
+		if folder != "" && len(scenarios) > 1 {
 			folder = filepath.Join(folder, fmt.Sprintf("%s-%d", s.Name, s.Seed))
 		}
-		r, _, err := lab.Run(ctx, s, lab.Options{Command: command, Straight: f.straight, State: f.state, Keep: folder,
+		result, _, err := lab.Run(ctx, s, lab.Options{Command: command, Straight: f.straight, State: f.state, Keep: folder,
 			Progress: f.progress(cmd.ErrOrStderr(), s)})
 		if err != nil {
-			return failed(err)
+			return asFailure(err)
 		}
-		r.Version = version()
-		file.Runs = append(file.Runs, r)
-		r.Table(cmd.OutOrStdout())
-		if err := f.write(cmd.ErrOrStderr(), file, r); err != nil {
-			return failed(err)
+		result.Version = version()
+		results.Runs = append(results.Runs, result)
+		result.Table(cmd.OutOrStdout())
+		if err := f.writeFiles(cmd.ErrOrStderr(), results, result); err != nil {
+			return asFailure(err)
 		}
-		if r.Interrupted {
+		if result.Interrupted {
 			break
 		}
 	}
-	return verdict(file)
+	return verdict(results)
 }
 
-// scenario reads the scenario with what the flags change in it.
-func (f *labRun) scenario(name string, later uint64) (*scenario.Scenario, error) {
+// openScenario reads a scenario and applies the changes of the flags.
+func (f *labRunFlags) openScenario(name string, seedOffset uint64) (*scenario.Scenario, error) {
 	s, err := scenario.Open(name)
 	if err != nil {
 		return nil, err
@@ -137,29 +137,29 @@
 	if f.seed > 0 {
 		s.Seed = f.seed
 	}
-	s.Seed += later
+	s.Seed += seedOffset
 	return s, s.Change(f.length, f.rate, f.closed)
 }
 
-// progress writes a line a second.
-func (f *labRun) progress(to io.Writer, s *scenario.Scenario) func(lab.Progress) {
+// progress returns a function that prints a line for each progress report, or nil with --quiet.
+func (f *labRunFlags) progress(output io.Writer, s *scenario.Scenario) func(lab.Progress) {
 	if f.quiet {
 		return nil
 	}
-	fmt.Fprintf(to, "%s: %s (seed %d, %.0f s)\n", s.Name, s.Title, s.Seed, s.Length)
+	fmt.Fprintf(output, "%s: %s (seed %d, %.0f s)\n", s.Name, s.Title, s.Seed, s.Length)
 	return func(p lab.Progress) {
-		what := "load"
+		phase := "load"
 		if p.Waiting {
-			what = "waiting for what was taken on"
+			phase = "waiting for accepted notifications"
 		}
-		fmt.Fprintf(to, "  %5.1f s  %d of %d handed in, %d calls, %d notices  (%s)\n", p.At, p.Handed, p.Planned, p.Calls, p.Notices, what)
+		fmt.Fprintf(output, "  %5.1f s  %d of %d submitted, %d calls, %d notices  (%s)\n", p.At, p.Handed, p.Planned, p.Calls, p.Notices, phase)
 	}
 }
 
-// write writes the files asked for.
-func (f *labRun) write(to io.Writer, file report.File, r *report.Result) error {
+// writeFiles writes the files that the flags ask for.
+func (f *labRunFlags) writeFiles(output io.Writer, results report.File, result *report.Result) error {
 	if f.json != "" {
-		if err := file.Write(f.json); err != nil {
+		if err := results.Write(f.json); err != nil {
 			return err
 		}
 	}
@@ -170,73 +170,73 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(to, "report:", f.html)
-	return errors.Join(r.HTML(out), out.Close())
+	fmt.Fprintln(output, "report:", f.html)
+	return errors.Join(result.HTML(out), out.Close())
 }
 
-// verdict is the exit of the runs together.
-func verdict(file report.File) error {
-	broken := 0
-	for _, r := range file.Runs {
-		broken += len(r.Violations)
+// verdict returns an error if a rule was violated in any run, the last run was interrupted or a run is void.
+func verdict(results report.File) error {
+	violations := 0
+	for _, r := range results.Runs {
+		violations += len(r.Violations)
 	}
-	last := file.Runs[len(file.Runs)-1]
-	void := slices.IndexFunc(file.Runs, func(r *report.Result) bool { return r.Void != "" })
+	last := results.Runs[len(results.Runs)-1]
+	void := slices.IndexFunc(results.Runs, func(r *report.Result) bool { return r.Void != "" })
 	switch {
-	case broken > 0:
-		return exit{ruleBroken, fmt.Errorf("the rules were broken %d times: the table names the evidence", broken)}
+	case violations > 0:
+		return exitError{ruleBroken, fmt.Errorf("%d rule violations: see the evidence in the table", violations)}
 	case last.Interrupted:
-		return exit{failure, errors.New("interrupted: the results are of the part that was played")}
+		return exitError{failure, errors.New("interrupted: the results cover only the part that was run")}
 	case void >= 0:
-		return exit{failure, fmt.Errorf("void: %s: %s", file.Runs[void].Scenario, file.Runs[void].Void)}
+		return exitError{failure, fmt.Errorf("void: %s: %s", results.Runs[void].Scenario, results.Runs[void].Void)}
 	}
 	return nil
 }
 
-func newLabList() *cobra.Command {
+func newLabListCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "List the shipped scenarios", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, name := range scenario.Shipped() {
 				s, err := scenario.Open(name)
 				if err != nil {
-					return failed(err)
+					return asFailure(err)
 				}
-				fmt.Fprintf(t, "%s\t%.0f s\t%s\n", name, s.Length, s.About)
+				fmt.Fprintf(table, "%s\t%.0f s\t%s\n", name, s.Length, s.About)
 			}
-			return t.Flush()
+			return table.Flush()
 		}}
 }
 
-func newLabShow() *cobra.Command {
+func newLabShowCommand() *cobra.Command {
 	return &cobra.Command{Use: "show SCENARIO", Short: "Print a scenario's text, after checking it", Args: cobra.ExactArgs(1),
 		ValidArgs: scenario.Shipped(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := scenario.Open(args[0]); err != nil {
-				return failed(err)
+				return asFailure(err)
 			}
 			text, err := scenario.Text(args[0])
 			if err != nil {
-				return failed(err)
+				return asFailure(err)
 			}
 			_, err = cmd.OutOrStdout().Write(text)
-			return failed(err)
+			return asFailure(err)
 		}}
 }
 
-func newLabReport() *cobra.Command {
+func newLabReportCommand() *cobra.Command {
 	var html string
 	c := &cobra.Command{Use: "report A.json [B.json]", Short: "Show the figures of runs, or two sets of runs side by side",
 		Args: cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := report.Read(args[0])
 			if err != nil {
-				return failed(err)
+				return asFailure(err)
 			}
 			if len(args) == 2 {
 				b, err := report.Read(args[1])
 				if err != nil {
-					return failed(err)
+					return asFailure(err)
 				}
 				report.CompareTable(cmd.OutOrStdout(), args[0], args[1], a, b)
 				return nil
@@ -249,17 +249,17 @@
 			}
 			out, err := os.Create(html)
 			if err != nil {
-				return failed(err)
+				return asFailure(err)
 			}
-			return failed(errors.Join(a.Runs[len(a.Runs)-1].HTML(out), out.Close()))
+			return asFailure(errors.Join(a.Runs[len(a.Runs)-1].HTML(out), out.Close()))
 		}}
 	c.Flags().StringVar(&html, "html", "", "write the last run's report here")
 	return c
 }
 
-// newPlanted is what "lab run --planted" starts in a dispatcher's place.
-func newPlanted() *cobra.Command {
-	return &cobra.Command{Use: "planted RULE", Short: "A dispatcher that breaks a rule on purpose", Hidden: true, Args: cobra.ExactArgs(1),
+// newPlantedCommand returns the command that "lab run --planted" starts in place of a dispatcher.
+func newPlantedCommand() *cobra.Command {
+	return &cobra.Command{Use: "planted RULE", Short: "Run a dispatcher that violates a rule on purpose", Hidden: true, Args: cobra.ExactArgs(1),
 		ValidArgs: rules.All,
-		RunE:      func(_ *cobra.Command, args []string) error { return failed(planted.Run(os.Getenv, args[0])) }}
+		RunE:      func(_ *cobra.Command, args []string) error { return asFailure(planted.Run(os.Getenv, args[0])) }}
 }
--- a/cmd/orchiddrift/main.go
+++ b/cmd/orchiddrift/main.go
@@ -1,4 +1,4 @@
-// Command orchiddrift is a dispatcher and the laboratory that shows what it does.
+// Command orchiddrift runs a dispatcher, the tools for its configuration and ledger, and the laboratory that tests it.
 package main
 
 import (
@@ -14,63 +14,63 @@
 	"orchiddrift/dispatcher"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	failure    = 1 // it did not work; one line says why
-	usage      = 2 // the call's words are off
-	ruleBroken = 3 // the laboratory saw a rule broken
+	failure    = 1 // the command failed
+	usageError = 2 // invalid arguments
+	ruleBroken = 3 // the laboratory found a rule violation
 )
 
-// exit is an error with the exit code that it asks for.
-type exit struct {
+// exitError is an error with its exit code.
+type exitError struct {
 	code int
 	error
 }
 
-func (e exit) Unwrap() error { return e.error }
+func (e exitError) Unwrap() error { return e.error }
 
 func main() { os.Exit(execute(os.Args[1:])) }
 
-// execute runs the command line and gives its exit code.
+// execute runs the command line and returns the exit code.
 func execute(args []string) int {
-	root := newRoot()
+	root := newRootCommand()
 	root.SetArgs(args)
 	err := root.ExecuteContext(context.Background())
 	if err == nil {
 		return 0
 	}
-	code := exit{code: usage}
-	errors.As(err, &code)
+	exitErr := exitError{code: usageError}
+	errors.As(err, &exitErr)
 	fmt.Fprintln(os.Stderr, "orchiddrift:", err)
-	return code.code
+	return exitErr.code
 }
 
-// failed marks an error as met at work: any other is one of usage.
-func failed(err error) error {
+// asFailure gives an error the exit code failure. Errors without an exit code count as usage errors.
+func asFailure(err error) error {
 	if err == nil {
 		return nil
 	}
-	return exit{failure, err}
+	return exitError{failure, err}
 }
 
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var level, format, profile string
 	run := func(cmd *cobra.Command, _ []string) error {
-		logs, err := dispatcher.NewLogOptions(os.Stderr, level, format)
+		logOptions, err := dispatcher.NewLogOptions(os.Stderr, level, format)
 		if err != nil {
 			return err
 		}
-		return failed(profiled(profile, func() error { return dispatcher.Run(os.Getenv, logs) }))
+		return asFailure(withCPUProfile(profile, func() error { return dispatcher.Run(os.Getenv, logOptions) }))
 	}
-	runCommand := &cobra.Command{Use: "run", Short: "Run a dispatcher, told by the ROUTER_ variables", Args: cobra.NoArgs, RunE: run}
-	runCommand.Flags().StringVar(&profile, "cpuprofile", "", "write a CPU profile here when it ends")
+	runCommand := &cobra.Command{Use: "run", Short: "Run a dispatcher, configured by the ROUTER_ variables", Args: cobra.NoArgs, RunE: run}
+	runCommand.Flags().StringVar(&profile, "cpuprofile", "", "write a CPU profile to this file")
 	root := &cobra.Command{
 		Use:   "orchiddrift",
 		Short: "An outbound gateway: notifications pushed to many partners' systems",
 		Long: `An outbound gateway: dispatchers take notifications from clients and push them to many partners' systems.
 
-Without a command it is a dispatcher where ROUTER_CONFIG is set, as "orchiddrift run"; else it prints this page.
-Exit codes: 0 done, 1 failure, 2 usage, 3 the laboratory saw a rule broken.`,
+Without a command it runs a dispatcher if ROUTER_CONFIG is set, like "orchiddrift run"; otherwise it prints this help.
+Exit codes: 0 success, 1 failure, 2 usage, 3 the laboratory found a rule violation.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -83,7 +83,7 @@
 	}
 	root.PersistentFlags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
 	root.PersistentFlags().StringVar(&format, "log-format", "json", "json or console")
-	root.AddCommand(newLab(), newLedger(), newConfig(),
+	root.AddCommand(newLabCommand(), newLedgerCommand(), newConfigCommand(),
 		runCommand,
 		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 			Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "orchiddrift", version()) }},
@@ -91,8 +91,8 @@
 	return root
 }
 
-// profiled runs f, with a CPU profile of it where a file is named.
-func profiled(path string, f func() error) error {
+// withCPUProfile runs f and, unless path is empty, writes a CPU profile of it to path.
+func withCPUProfile(path string, f func() error) error {
 	if path == "" {
 		return f()
 	}
@@ -108,16 +108,16 @@
 	return f()
 }
 
-// version is what the build knows of its source.
+// version returns the module version or VCS revision of the build, and the Go version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
 	v := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" && v == "(devel)" {
-			v = s.Value
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" && v == "(devel)" {
+			v = setting.Value
 		}
 	}
 	return v + " " + info.GoVersion
--- a/cmd/orchiddrift/main_test.go
+++ b/cmd/orchiddrift/main_test.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain makes the test binary run as the program if ORCHIDDRIFT_TEST is set.
 func TestMain(m *testing.M) {
 	switch os.Getenv("ORCHIDDRIFT_TEST") {
 	case "run":
 		main()
-	case "args": // and, started by itself again as a dispatcher, for what its own arguments say
+	case "args": // arguments on the command line come from the program itself, which starts a dispatcher
 		args := os.Args[1:]
 		if len(args) == 0 {
 			args = strings.Split(os.Getenv("ORCHIDDRIFT_ARGS"), "\n")
@@ -32,15 +32,15 @@
 	}
 }
 
-const partner = `{"balancers":1,"kinds":["small"],"azs":["dc"],"tick-ms":5,"membership-mode":"push",
+const settingsJSON = `{"balancers":1,"kinds":["small"],"azs":["dc"],"tick-ms":5,"membership-mode":"push",
 	"weight-kind":"nominal","family-info":{"max-calls":4,"batch-by-kind":[1],"separate-routes":[false]},
 	"policy-limits":{"most-held":20,"max-attempts":8,"dial-timeout-ms":1500,"idle-close-ms":15000},
 	"guarantees":{"cold-from":0.2,"cold-ms":14000,"overload-factor":2,"fall-ms":1500,"turn-gap-ms":0},
 	"classes":[{"name":"order","repeat":"single_shot","group":"all","promise-ms":2000,"deadline-ms":9000,
 	"importance":3,"sequential":true},{"name":"reading","repeat":"free","group":"all","promise-ms":2000,"deadline-ms":9000,"importance":1}]}`
 
-// world is a dispatcher's surroundings: an agent that takes notices, and one endpoint.
-type world struct {
+// environment is an agent that receives notices, one endpoint, and the process of a dispatcher between them.
+type environment struct {
 	dir, listen string
 	agent       *httptest.Server
 	events      chan string
@@ -48,9 +48,10 @@
 	log         strings.Builder
 }
 
-// newWorld starts the surroundings; the endpoint does with a message what its body says.
-func newWorld() *world {
-	w := &world{events: make(chan string, 99)}
+// newEnvironment starts the agent and the endpoint. A notification's body tells the endpoint to close the connection or to
+// wait before it answers.
+func newEnvironment() *environment {
+	w := &environment{events: make(chan string, 99)}
 	w.dir, _ = os.MkdirTemp("", "orchiddrift")
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	w.listen = ln.Addr().String()
@@ -78,15 +79,15 @@
 		"addr": strings.TrimPrefix(endpoint.URL, "http://"), "cell": 7, "state": "ready", "weight": 10}}}
 	text, _ := json.Marshal(map[string]any{"name": "n1", "seed": "8c1f30d27a5be964", "known": known,
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
-		"settings": json.RawMessage(partner)})
+		"settings": json.RawMessage(settingsJSON)})
 	if err := os.WriteFile(filepath.Join(w.dir, "config.json"), text, 0o600); err != nil {
 		panic(err)
 	}
 	return w
 }
 
-// start runs the program until it is ready.
-func (w *world) start() {
+// start runs the program and waits until it is ready.
+func (w *environment) start() {
 	w.process = exec.Command(os.Args[0])
 	w.process.Env = append(os.Environ(), "ORCHIDDRIFT_TEST=run", "ROUTER_CONFIG="+filepath.Join(w.dir, "config.json"),
 		"ROUTER_LISTEN="+w.listen, "ROUTER_STATE="+w.dir, "ROUTER_DISCOVERY="+strings.TrimPrefix(w.agent.URL, "http://"))
@@ -106,8 +107,8 @@
 	fmt.Println("never ready:", w.log.String())
 }
 
-// hand hands in a message of one key and prints the answer.
-func (w *world) hand(id, topic, body string) {
+// submit submits a notification with key "k" and prints the answer.
+func (w *environment) submit(id, topic, body string) {
 	req, _ := http.NewRequest("POST", "http://"+w.listen+"/api", strings.NewReader(body))
 	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": topic, "X-Caller": "acme",
 		"Cookie": "about=k", "X-Budget": "9000m", "X-Addressing": "dest=7"} {
@@ -115,41 +116,42 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		fmt.Println(id, "found nobody")
+		fmt.Println(id, "got no answer")
 		return
 	}
 	resp.Body.Close()
 	fmt.Println(id, resp.StatusCode, resp.Close)
 }
 
-// next prints what the agent or the endpoint saw next.
-func (w *world) next() {
+// printEvent prints the next event at the agent or the endpoint.
+func (w *environment) printEvent() {
 	select {
 	case e := <-w.events:
 		fmt.Println(e)
 	case <-time.After(5 * time.Second):
-		fmt.Println("nothing happened:", w.log.String())
+		fmt.Println("no event within 5 s:", w.log.String())
 	}
 }
 
-func (w *world) end(signal os.Signal) {
+func (w *environment) signalAndWait(signal os.Signal) {
 	_ = w.process.Process.Signal(signal)
 	fmt.Println(w.process.Wait())
 }
 
-// Killed outright while an order is out: after the restart it is given up, and the next of its key is pushed.
-func Example_kill() {
-	w := newWorld()
+// The process is killed while a push of a single_shot notification is out. After the restart the notification is given
+// up, and the next one of its key is pushed.
+func Example_crash() {
+	w := newEnvironment()
 	defer os.RemoveAll(w.dir)
 	w.start()
-	w.hand("a1", "order", "10s")
-	w.next()
-	w.hand("a2", "order", "")
-	w.end(syscall.SIGKILL)
+	w.submit("a1", "order", "10s")
+	w.printEvent()
+	w.submit("a2", "order", "")
+	w.signalAndWait(syscall.SIGKILL)
 	w.start()
-	w.next()
-	w.next()
-	w.end(syscall.SIGTERM)
+	w.printEvent()
+	w.printEvent()
+	w.signalAndWait(syscall.SIGTERM)
 	// Output:
 	// ready
 	// a1 202 false
@@ -162,22 +164,22 @@
 	// <nil>
 }
 
-// A planned stop: clients are answered and sent elsewhere, what is out may end, then the process ends by itself.
-func Example_stop() {
-	w := newWorld()
+// In a graceful stop clients are answered and their connections closed, pushes that are out may end, and the process exits.
+func Example_gracefulStop() {
+	w := newEnvironment()
 	defer os.RemoveAll(w.dir)
 	w.start()
-	w.hand("a1", "order", "700ms")
-	w.next()
+	w.submit("a1", "order", "700ms")
+	w.printEvent()
 	_ = w.process.Process.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
-	w.hand("a2", "reading", "")
-	w.next()
+	w.submit("a2", "reading", "")
+	w.printEvent()
 	fmt.Println(w.process.Wait())
-	w.hand("a3", "reading", "")
+	w.submit("a3", "reading", "")
 	w.start()
-	w.end(syscall.SIGTERM)
-	fmt.Println(strings.Count(w.log.String(), `"owed":0`), "starts with nothing owed")
+	w.signalAndWait(syscall.SIGTERM)
+	fmt.Println(strings.Count(w.log.String(), `"owed":0`), "starts with nothing pending")
 	// Output:
 	// ready
 	// a1 202 false
@@ -185,15 +187,15 @@
 	// a2 202 true
 	// pushed a2
 	// <nil>
-	// a3 found nobody
+	// a3 got no answer
 	// ready
 	// <nil>
-	// 2 starts with nothing owed
+	// 2 starts with nothing pending
 }
 
-// A bad configuration ends the program with one plain line.
-func Example_badConfiguration() {
-	w := newWorld()
+// An invalid configuration ends the program with a one-line error.
+func Example_invalidConfiguration() {
+	w := newEnvironment()
 	defer os.RemoveAll(w.dir)
 	path := filepath.Join(w.dir, "config.json")
 	good, _ := os.ReadFile(path)
@@ -220,9 +222,10 @@
 	// exit status 1
 }
 
-// On SIGHUP discovery moves, whatever the variables say; a bad configuration changes nothing.
+// A SIGHUP applies the discovery address of the file, also if ROUTER_DISCOVERY is set. An invalid configuration changes
+// nothing.
 func Example_reload() {
-	w, other := newWorld(), newWorld()
+	w, other := newEnvironment(), newEnvironment()
 	defer os.RemoveAll(w.dir)
 	defer os.RemoveAll(other.dir)
 	w.start()
@@ -234,12 +237,12 @@
 		_ = w.process.Process.Signal(syscall.SIGHUP)
 		time.Sleep(200 * time.Millisecond)
 	}
-	w.hand("a1", "reading", "")
-	w.next()
+	w.submit("a1", "reading", "")
+	w.printEvent()
 	w.agent.CloseClientConnections()
-	w.hand("a2", "order", "hang up")
-	other.next()
-	w.end(syscall.SIGTERM)
+	w.submit("a2", "order", "hang up")
+	other.printEvent()
+	w.signalAndWait(syscall.SIGTERM)
 	fmt.Println(strings.Count(w.log.String(), "configuration not reloaded"), strings.Count(w.log.String(), `"moved":true`))
 	// Output:
 	// ready
