--- a/appconfig/app.go
+++ b/appconfig/app.go
@@ -43,7 +43,9 @@
 	Sync string `toml:"sync"`
 }
 
-// Dispatcher limits what a dispatcher may hold and have out.
+// Dispatcher configures a dispatcher: Slots is the maximum number of calls out, Held of notifications held, Pushes of
+// pushes per notification. Tick is the least time between two batches, Dial the time-out of a connection attempt, and Idle
+// the time after which an unused connection is closed.
 type Dispatcher struct {
 	Count  int      `toml:"count"` // dispatchers that share the partners
 	Slots  int      `toml:"slots"`
@@ -61,7 +63,8 @@
 	Body int     `toml:"body"` // bytes per notification
 }
 
-// Returns describes the capacity of a destination that recovers from an outage.
+// Returns describes a destination that recovers from an outage: it starts with the share ColdFrom of its capacity and has
+// all of it after ColdSpan. It fails again if it gets more than Multiple of its capacity for Fall.
 type Returns struct {
 	ColdFrom float64  `toml:"cold_from"`
 	ColdSpan Duration `toml:"cold_span"`
@@ -109,7 +112,8 @@
 	OnceOnly    = "once-only"
 )
 
-// Topic is a topic type.
+// Topic is a topic type. LateBenefit is the share of Benefit to which the benefit decays after the objective, in the way
+// that Layout.Late sets.
 type Topic struct {
 	Name        string   `toml:"name"`
 	Repeat      string   `toml:"repeat"`
@@ -123,13 +127,14 @@
 	Key         string   `toml:"key"` // what the notifications of one ordered sequence share
 }
 
-// Tenant is the organisation of a client.
+// Tenant is the organisation of a client. Rate is its quota in notifications per second.
 type Tenant struct {
 	Name string  `toml:"name"`
 	Rate float64 `toml:"rate"`
 }
 
-// Partner is a system that receives notifications.
+// Partner is a system that receives notifications. Dest is the number of its destination, Answer the mean time of an
+// answer, and Batch the maximum number of notifications in a call.
 type Partner struct {
 	Name      string     `toml:"name"`
 	Dest      int        `toml:"dest"`
--- a/dispatcher/system.go
+++ b/dispatcher/system.go
@@ -24,7 +24,7 @@
 	OpenFolder       func(path string) (Folder, error)
 	Listen           func(address string) (net.Listener, error)
 	Dial             func(address string, timeout time.Duration) (net.Conn, error)
-	PanicOnViolation bool // panic when an invariant is violated, for tests
+	PanicOnViolation bool // for tests: panic when an invariant is violated
 }
 
 // HostSystem returns the System of the machine that the process runs on.
