--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -86,7 +86,7 @@
 	invariants := &invariant.Counters{Log: log, Strict: system.PanicOnViolation}
 	firstListBy := state.clock() + firstListTimeout.Seconds()
 	runner.Gateway.SetSendChecker(invariant.NewSendChecker(invariants, invariant.Margins{DrainGrace: parts.drainGrace, KeyHold: parts.scheduler.KeyCooldown()}, firstListBy))
-	log.Info().Int("owed", len(state.pending)).Int("taken_over", state.report.Migrated).Int("listed", len(cfg.Known.Servers)).Msg("starting dispatcher")
+	log.Info().Int("owed", len(state.pending)).Int("taken_over", state.report.Migrated).Int("listed", len(cfg.Known.Servers)).Msg("start")
 	runner.Gateway.AdvanceCallID(state.ledger.LastCallNumber())
 	runner.Gateway.AwaitFirstList(firstListBy)
 	runner.Restore(state.pending)
@@ -128,11 +128,11 @@
 			}()
 			<-stopSignals
 		}
-		log.Info().Msg("graceful stop begins")
+		log.Info().Msg("stopping")
 		stop(server, runner, stopLoop)
 	}()
 	runner.Run(done)
-	log.Info().Int("held", runner.Gateway.Pending()).Msg("dispatcher stopped")
+	log.Info().Int("held", runner.Gateway.Pending()).Msg("end")
 	select {
 	case err := <-failed:
 		return err
