--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"orchiddrift/settings"
 )
 
-// The same settings nested and as pairs; what is missing or odd is named.
-func Example_values() {
+// FromJSON and FromPairs give the same settings. An error names the setting that is missing or invalid.
+func Example_formats() {
 	nested, err := settings.FromJSON([]byte(`{"kinds":["bulk","small"],"family-info":{"batch-by-kind":[20,1]},
 		"tenants":[{"name":"a","quota-rps":17.0},{"name":"b"}],"guarantees":{"cold-ms":14000.0},
 		"membership-mode":"push","weight-kind":null,"flag":true}`))
@@ -20,7 +20,7 @@
 	for _, s := range []*settings.Values{nested, pairs} {
 		fmt.Println(s.BatchSizes(), s.ListOnDemand(), s.Int("tenants.count"), s.Text("tenants.1.name"), s.Bool("flag"),
 			s.Float("tenants.0.quota-rps"), s.Seconds("guarantees.cold-ms"), s.Err())
-		_, err := s.NewModule(1, directory.New())
+		_, err := s.NewScheduler(1, directory.New())
 		fmt.Println(err)
 	}
 	_, err = settings.FromJSON([]byte(`{"kinds":`))
@@ -38,11 +38,11 @@
 	// field boot-info cannot be "kinds"
 }
 
-// What the list tells, and how benefit falls, is one of the words that there are; the error names them.
-func Example_words() {
+// A setting with a fixed set of words rejects any other word. The error lists the valid ones.
+func Example_invalidWords() {
 	for _, pairs := range [][]string{{"over-share-worth=1", "weight-kind=heavy"}, {"weight-kind=silent", "classes.count=1", "family-info.loses-worth=steps"}} {
 		s, _ := settings.FromPairs(pairs)
-		_, err := s.NewModule(1, directory.New())
+		_, err := s.NewScheduler(1, directory.New())
 		fmt.Println(err)
 	}
 	// Output:
