--- a/cmd/orchiddrift/lab.go
+++ b/cmd/orchiddrift/lab.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return asFailure(err)
 	}
-	command := fleet.Command{Path: executable, Args: []string{"run"}, Profile: f.profile}
+	command := fleet.Command{Path: executable, Args: []string{"run"}, CPUProfile: f.profile}
 	if f.plantedRule != "none" {
 		command.Args = []string{"lab", "planted", f.plantedRule}
 	}
@@ -110,14 +110,14 @@
 		if folder != "" && len(scenarios) > 1 {
 			folder = filepath.Join(folder, fmt.Sprintf("%s-%d", s.Name, s.Seed))
 		}
-		result, _, err := lab.Run(ctx, s, lab.Options{Command: command, Straight: f.straight, State: f.state, Keep: folder,
+		result, _, err := lab.Run(ctx, s, lab.Options{Command: command, Direct: f.straight, StateDir: f.state, KeepDir: folder,
 			Progress: f.progress(cmd.ErrOrStderr(), s)})
 		if err != nil {
 			return asFailure(err)
 		}
 		result.Version = version()
 		results.Runs = append(results.Runs, result)
-		result.Table(cmd.OutOrStdout())
+		result.WriteTable(cmd.OutOrStdout())
 		if err := f.writeFiles(cmd.ErrOrStderr(), results, result); err != nil {
 			return asFailure(err)
 		}
@@ -138,7 +138,7 @@
 		s.Seed = f.seed
 	}
 	s.Seed += seedOffset
-	return s, s.Change(f.length, f.rate, f.closed)
+	return s, s.Override(f.length, f.rate, f.closed)
 }
 
 // progress returns a function that prints a line for each progress report, or nil with --quiet.
@@ -149,10 +149,10 @@
 	fmt.Fprintf(output, "%s: %s (seed %d, %.0f s)\n", s.Name, s.Title, s.Seed, s.Length)
 	return func(p lab.Progress) {
 		phase := "load"
-		if p.Waiting {
+		if p.LoadDone {
 			phase = "waiting for accepted notifications"
 		}
-		fmt.Fprintf(output, "  %5.1f s  %d of %d submitted, %d calls, %d notices  (%s)\n", p.At, p.Handed, p.Planned, p.Calls, p.Notices, phase)
+		fmt.Fprintf(output, "  %5.1f s  %d of %d submitted, %d calls, %d notices  (%s)\n", p.At, p.HandedIn, p.Planned, p.Calls, p.Notices, phase)
 	}
 }
 
@@ -171,7 +171,7 @@
 		return err
 	}
 	fmt.Fprintln(output, "report:", f.html)
-	return errors.Join(result.HTML(out), out.Close())
+	return errors.Join(result.WriteHTML(out), out.Close())
 }
 
 // verdict returns an error if a rule was violated in any run, the last run was interrupted or a run is void.
@@ -181,14 +181,14 @@
 		violations += len(r.Violations)
 	}
 	last := results.Runs[len(results.Runs)-1]
-	void := slices.IndexFunc(results.Runs, func(r *report.Result) bool { return r.Void != "" })
+	void := slices.IndexFunc(results.Runs, func(r *report.Result) bool { return r.VoidReason != "" })
 	switch {
 	case violations > 0:
 		return exitError{ruleBroken, fmt.Errorf("%d rule violations: see the evidence in the table", violations)}
 	case last.Interrupted:
 		return exitError{failure, errors.New("interrupted: the results cover only the part that was run")}
 	case void >= 0:
-		return exitError{failure, fmt.Errorf("void: %s: %s", results.Runs[void].Scenario, results.Runs[void].Void)}
+		return exitError{failure, fmt.Errorf("void: %s: %s", results.Runs[void].Scenario, results.Runs[void].VoidReason)}
 	}
 	return nil
 }
@@ -238,11 +238,11 @@
 				if err != nil {
 					return asFailure(err)
 				}
-				report.CompareTable(cmd.OutOrStdout(), args[0], args[1], a, b)
+				report.WriteComparison(cmd.OutOrStdout(), args[0], args[1], a, b)
 				return nil
 			}
 			for _, r := range a.Runs {
-				r.Table(cmd.OutOrStdout())
+				r.WriteTable(cmd.OutOrStdout())
 			}
 			if html == "" {
 				return nil
@@ -251,7 +251,7 @@
 			if err != nil {
 				return asFailure(err)
 			}
-			return asFailure(errors.Join(a.Runs[len(a.Runs)-1].HTML(out), out.Close()))
+			return asFailure(errors.Join(a.Runs[len(a.Runs)-1].WriteHTML(out), out.Close()))
 		}}
 	c.Flags().StringVar(&html, "html", "", "write the last run's report here")
 	return c
--- a/cmd/orchiddrift/soak.go
+++ b/cmd/orchiddrift/soak.go
@@ -51,7 +51,7 @@
 		if debug {
 			logOptions.Level = zerolog.DebugLevel
 		}
-		return asFailure(soak.Child(os.Getenv, logOptions))
+		return asFailure(soak.RunFaultyDispatcher(os.Getenv, logOptions))
 	}}
 	c.Flags().BoolVar(&debug, "debug", false, "log at debug level")
 	return c
@@ -82,7 +82,7 @@
 		if keep != "" {
 			keep = filepath.Join(keep, fmt.Sprint("seed-", seed))
 		}
-		r, err := soak.Play(ctx, seed, f.time.Seconds(), soak.Options{Command: command, Keep: keep, Steps: f.steps})
+		r, err := soak.Run(ctx, seed, f.time.Seconds(), soak.Options{Command: command, KeepDir: keep, StepClocks: f.steps})
 		if err != nil {
 			return asFailure(err)
 		}
@@ -91,22 +91,22 @@
 		}
 		overlaps.Add(r.Overlaps)
 		fmt.Fprintf(out, "seed %d: %d dispatchers, %d endpoints, crowded %v, %d troubles, %d misbehaving clients, %d accepted, %d delivered, %d findings\n",
-			seed, r.Dispatcher, r.Endpoints, r.Crowded, len(r.Troubles), r.Rude, r.Totals.Taken, r.Totals.Delivered, len(r.Found))
+			seed, r.DispatcherCount, r.EndpointCount, r.Flooded, len(r.Troubles), r.MisbehavingClients, r.Totals.Accepted, r.Totals.Delivered, len(r.Findings))
 		if f.detail {
 			for _, trouble := range r.Troubles {
 				fmt.Fprintln(out, "   ", trouble)
 			}
 		}
-		if len(r.Found) == 0 {
+		if len(r.Findings) == 0 {
 			continue
 		}
-		if len(r.Starved) > 0 {
+		if len(r.UnplannedStalls) > 0 {
 			void++
-			fmt.Fprintln(out, "   void, the machine was overloaded:", strings.Join(r.Starved, "; "))
+			fmt.Fprintln(out, "   void, the machine was overloaded:", strings.Join(r.UnplannedStalls, "; "))
 		} else {
 			failed++
 		}
-		for _, finding := range r.Found {
+		for _, finding := range r.Findings {
 			fmt.Fprintln(out, "  ", finding)
 		}
 		fmt.Fprintf(out, "   again: orchiddrift lab soak --seed %d --time %v --steps=%v --keep FOLDER --debug -v\n", seed, f.time, f.steps)
@@ -115,7 +115,7 @@
 		return asFailure(ctx.Err())
 	}
 	fmt.Fprintf(out, "troubles that overlapped: %v\n", overlaps)
-	fmt.Fprintf(out, "never overlapped: %s\n", strings.Join(overlaps.Never(), ", "))
+	fmt.Fprintf(out, "never overlapped: %s\n", strings.Join(overlaps.Missing(), ", "))
 	if void > 0 {
 		fmt.Fprintf(out, "%d of %d seeds were void\n", void, f.seeds)
 	}
--- a/lab/agent/agent.go
+++ b/lab/agent/agent.go
@@ -65,10 +65,10 @@
 	a := &Agents{world: w, journal: j, clock: clock, addr: addr, stop: make(chan struct{})}
 	a.plan()
 	for i := range w.Dispatchers.Count {
-		old, err := a.open(i, network.Agent(i))
+		old, err := a.open(i, network.AgentAddr(i))
 		if err == nil && slices.ContainsFunc(w.Troubles, a.moves(i)) {
 			t := w.Troubles[slices.IndexFunc(w.Troubles, a.moves(i))]
-			if _, err = a.open(i, network.Moved(i)); err == nil {
+			if _, err = a.open(i, network.MovedAgentAddr(i)); err == nil {
 				go a.leave(old, t)
 			}
 		}
@@ -103,7 +103,9 @@
 
 // moves finds the trouble that moves a dispatcher's agent.
 func (a *Agents) moves(dispatcher int) func(scenario.Trouble) bool {
-	return func(t scenario.Trouble) bool { return t.Kind == scenario.Move && t.Concerns(dispatcher) }
+	return func(t scenario.Trouble) bool {
+		return t.Kind == scenario.MoveAgent && t.AppliesToDispatcher(dispatcher)
+	}
 }
 
 // leave closes the old address once the agent has moved: it takes no new connection from then on, and closes the open
@@ -138,7 +140,7 @@
 	a.changes = []change{{at: -1}}
 	for _, p := range a.world.Partners {
 		for _, e := range p.Endpoints {
-			if e.Born == 0 {
+			if e.AddedAt == 0 {
 				a.changes[0].entries = append(a.changes[0].entries, a.entry(p, e, ready))
 			}
 		}
@@ -146,13 +148,13 @@
 	later := map[float64][]server{}
 	for _, p := range a.world.Partners {
 		for _, e := range p.Endpoints {
-			learned := a.world.Learned(e)
-			if e.Drains > 0 {
-				later[e.Drains+learned] = append(later[e.Drains+learned], a.entry(p, e, draining))
-				later[e.Goes+learned] = append(later[e.Goes+learned], a.entry(p, e, gone))
+			learned := a.world.ListDelay(e)
+			if e.DrainsAt > 0 {
+				later[e.DrainsAt+learned] = append(later[e.DrainsAt+learned], a.entry(p, e, draining))
+				later[e.RemovedAt+learned] = append(later[e.RemovedAt+learned], a.entry(p, e, gone))
 			}
-			if e.Born > 0 {
-				later[e.Born+learned] = append(later[e.Born+learned], a.entry(p, e, ready))
+			if e.AddedAt > 0 {
+				later[e.AddedAt+learned] = append(later[e.AddedAt+learned], a.entry(p, e, ready))
 			}
 		}
 	}
@@ -168,11 +170,13 @@
 }
 
 func (a *Agents) entry(p scenario.Partner, e scenario.Endpoint, state string) server {
-	return server{ID: e.ID, Addr: a.addr(e), Zone: e.Zone, Kind: p.Kind.Name, Cell: e.Dest, State: state, Weight: p.Listed()}
+	return server{ID: e.ID, Addr: a.addr(e), Zone: e.Zone, Kind: p.Kind.Name, Cell: e.Dest, State: state, Weight: p.ListedRate()}
 }
 
-// Known is the list as a dispatcher has it at its start, in the platform's form.
-func (a *Agents) Known() any { return list{Version: 1, Full: true, Servers: a.changes[0].entries} }
+// InitialList is the list as a dispatcher has it at its start, in the platform's form.
+func (a *Agents) InitialList() any {
+	return list{Version: 1, Full: true, Servers: a.changes[0].entries}
+}
 
 // at is the version of a moment; they count from 1.
 func (a *Agents) at(now float64) int {
@@ -188,7 +192,7 @@
 // down tells whether the list is silent for a dispatcher, and until when.
 func (a *Agents) down(dispatcher int, now float64) (float64, bool) {
 	for _, t := range a.world.Troubles {
-		if t.Kind == scenario.ListDown && now >= t.At && now < t.End() && t.Concerns(dispatcher) {
+		if t.Kind == scenario.ListDown && now >= t.At && now < t.End() && t.AppliesToDispatcher(dispatcher) {
 			return t.End(), true
 		}
 	}
@@ -198,7 +202,7 @@
 // slow is how much longer an answer takes now.
 func (a *Agents) slow(dispatcher int, now float64) float64 {
 	for _, t := range a.world.Troubles {
-		if t.Kind == scenario.ListSlow && now >= t.At && now < t.End() && t.Concerns(dispatcher) {
+		if t.Kind == scenario.ListSlow && now >= t.At && now < t.End() && t.AppliesToDispatcher(dispatcher) {
 			return t.Factor
 		}
 	}
@@ -277,12 +281,12 @@
 	if f, ok := rw.(http.Flusher); ok {
 		f.Flush()
 	}
-	told := record.Told{Dispatcher: dispatcher, At: a.clock.Now(), Version: version, Full: full}
+	told := record.ListUpdate{Dispatcher: dispatcher, At: a.clock.Now(), Version: version, Full: full}
 	for _, s := range l.Servers {
-		told.Entries = append(told.Entries, record.Listed{ID: s.ID, State: s.State})
+		told.Entries = append(told.Entries, record.ListEntry{ID: s.ID, State: s.State})
 	}
 	if full || len(told.Entries) > 0 {
-		a.journal.Tell(told)
+		a.journal.AddListUpdate(told)
 	}
 }
 
@@ -307,7 +311,7 @@
 	now := a.clock.Now()
 	for _, n := range all {
 		n.At = now
-		a.journal.Notice(n)
+		a.journal.AddNotice(n)
 	}
 	rw.WriteHeader(http.StatusNoContent)
 }
--- a/lab/behaviour/behaviour.go
+++ b/lab/behaviour/behaviour.go
@@ -13,32 +13,32 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Way is how a call ends at the endpoint.
-type Way int
+// CallEnd is how a call ends at the endpoint.
+type CallEnd int
 
 // The ways.
 const (
-	Answer Way = iota // with a status
-	Silent            // never
-	Break             // the connection is reset in the place of an answer
-	CutOff            // the answer breaks off in the middle
-	Spoilt            // the answer cannot be read
-	Late              // it comes whole just after the first TTL in the call, and counts as none
-	Close             // the answer is good, and the connection is closed untold behind it
+	Answered          CallEnd = iota // with a status
+	NoAnswer                         // never
+	ConnectionReset                  // the connection is reset in the place of an answer
+	AnswerTruncated                  // the answer breaks off in the middle
+	AnswerCorrupted                  // the answer cannot be read
+	AnsweredLate                     // it comes whole just after the first TTL in the call, and counts as none
+	ClosedAfterAnswer                // the answer is good, and the connection is closed untold behind it
 )
 
-// Fate is what becomes of a call.
-type Fate struct {
-	Way    Way
-	After  float64 // seconds until then
-	Status int
-	Wait   float64 // told; 0: none
-	States []record.State
-	Ran    []bool
-	Report bool
-	Share  float64 // of the limit, left
-	Limit  float64
-	Why    string // the fault that made it so
+// Outcome is what becomes of a call.
+type Outcome struct {
+	End           CallEnd
+	Delay         float64 // seconds until then
+	Status        int
+	ToldWait      float64 // told; 0: none
+	States        []record.PushState
+	Ran           []bool
+	HasLoadReport bool
+	LoadShare     float64 // of the limit, left
+	LoadLimit     float64
+	Cause         string // the fault that made it so
 }
 
 // Partner is one destination's system.
@@ -51,7 +51,7 @@
 	used   int     // in it
 	slots  [][]float64
 	starts [][]float64 // by endpoint: when the calls in its queue will start
-	strain Strain
+	strain OverloadDetector
 	fallen bool
 }
 
@@ -59,10 +59,10 @@
 func New(w *scenario.World, spec scenario.Partner) *Partner {
 	p := &Partner{world: w, spec: spec, tokens: burst(spec.Rate)}
 	for range spec.Endpoints {
-		p.slots = append(p.slots, make([]float64, spec.Slots))
+		p.slots = append(p.slots, make([]float64, spec.SlotsPerEndpoint))
 		p.starts = append(p.starts, nil)
 	}
-	p.strain = Strain{Multiple: w.Returns.Multiple, Span: w.Returns.Fall, Capacity: p.capacity}
+	p.strain = OverloadDetector{OverloadFactor: w.Recovery.OverloadFactor, Span: w.Recovery.OverloadSpan, Capacity: p.capacity}
 	return p
 }
 
@@ -70,15 +70,15 @@
 func burst(rate float64) float64 { return max(2, rate/2) }
 
 func (p *Partner) capacity(now float64) float64 {
-	return p.spec.Rate * p.world.Warmth(p.spec.Dest, now)
+	return p.spec.Rate * p.world.CapacityShare(p.spec.Dest, now)
 }
 
-// Fallen tells whether it was pushed over.
-func (p *Partner) Fallen() bool { return p.fallen }
+// Collapsed tells whether it was pushed over.
+func (p *Partner) Collapsed() bool { return p.fallen }
 
 // hit returns the fault of a kind that acts on an endpoint now.
 func (p *Partner) hit(kind string, now float64, e scenario.Endpoint) *scenario.Fault {
-	i := slices.IndexFunc(p.world.Faults, func(f scenario.Fault) bool { return f.Hits(kind, now, e) })
+	i := slices.IndexFunc(p.world.Faults, func(f scenario.Fault) bool { return f.ActiveOn(kind, now, e) })
 	if i < 0 {
 		return nil
 	}
@@ -90,10 +90,10 @@
 	return rand.New(rand.NewPCG(p.world.Seed, xxhash.Sum64String(id)+uint64(call)))
 }
 
-// Takes tells whether an endpoint takes connections: it is there, and nothing keeps it from that.
-func (p *Partner) Takes(now float64, index int) bool {
+// AcceptsConnections tells whether an endpoint takes connections: it is there, and nothing keeps it from that.
+func (p *Partner) AcceptsConnections(now float64, index int) bool {
 	e := p.spec.Endpoints[index]
-	return now >= e.Born && (e.Goes == 0 || now < e.Goes+linger) && p.hit(scenario.Refuse, now, e) == nil
+	return now >= e.AddedAt && (e.RemovedAt == 0 || now < e.RemovedAt+linger) && p.hit(scenario.RefuseConnections, now, e) == nil
 }
 
 // linger is how long an endpoint that has gone still takes connections.
@@ -102,55 +102,55 @@
 // Call is what a partner sees of a call: its notifications, whether its connection was used before, and how many calls
 // came before it with its first notification.
 type Call struct {
-	IDs    []string
-	Reused bool
-	Before int
+	IDs           []string
+	Reused        bool
+	PreviousCalls int
 }
 
-// Arrive tells the fate of a call whose last byte has just come to an endpoint.
-func (p *Partner) Arrive(now float64, index int, c Call) Fate {
+// HandleCall tells the fate of a call whose last byte has just come to an endpoint.
+func (p *Partner) HandleCall(now float64, index int, c Call) Outcome {
 	e := p.spec.Endpoints[index]
-	chance := p.chance(c.IDs[0], c.Before)
-	if !p.world.Down(p.spec.Dest, now) && p.world.Warmth(p.spec.Dest, now) < 1 && p.strain.Add(now) {
+	chance := p.chance(c.IDs[0], c.PreviousCalls)
+	if !p.world.InOutage(p.spec.Dest, now) && p.world.CapacityShare(p.spec.Dest, now) < 1 && p.strain.AddCall(now) {
 		p.fallen = true
 	}
-	if f := p.hit(scenario.Reused, now, e); f != nil && c.Reused && chance.Float64() < f.Share {
-		return all(c, Fate{Way: Break, Why: f.Kind}, false)
+	if f := p.hit(scenario.BreakReused, now, e); f != nil && c.Reused && chance.Float64() < f.Share {
+		return all(c, Outcome{End: ConnectionReset, Cause: f.Kind}, false)
 	}
 	if p.fallen {
-		return all(c, Fate{Status: 503, Why: "fallen over"}, false)
+		return all(c, Outcome{Status: 503, Cause: "fallen over"}, false)
 	}
 	if f := p.hit(scenario.Hang, now, e); f != nil {
-		return all(c, Fate{Way: Silent, Why: f.Kind}, false)
+		return all(c, Outcome{End: NoAnswer, Cause: f.Kind}, false)
 	}
-	if f := p.hit(scenario.Shut, now, e); f != nil {
-		fate := Fate{Status: 503, Why: f.Kind}
-		if f.Tell {
-			fate.Status, fate.Wait = 429, max(f.End()-now, p.spec.Kind.Wait)
+	if f := p.hit(scenario.RejectAll, now, e); f != nil {
+		fate := Outcome{Status: 503, Cause: f.Kind}
+		if f.Announced {
+			fate.Status, fate.ToldWait = 429, max(f.End()-now, p.spec.Kind.MinToldWait)
 		}
 		return all(c, fate, false)
 	}
 	if wait, ok := p.admit(now, e); !ok {
-		fate := Fate{Status: 503}
-		if chance.Float64() < p.spec.Kind.TellWait {
-			fate.Status, fate.Wait = 429, max(wait, p.spec.Kind.Wait)
+		fate := Outcome{Status: 503}
+		if chance.Float64() < p.spec.Kind.ToldWaitShare {
+			fate.Status, fate.ToldWait = 429, max(wait, p.spec.Kind.MinToldWait)
 		}
 		return p.report(now, e, all(c, fate, false))
 	}
-	if f := p.hit(scenario.Errors, now, e); f != nil {
+	if f := p.hit(scenario.FailCalls, now, e); f != nil {
 		return p.report(now, e, p.erring(c, f, chance))
 	}
 	after, ok := p.serve(now, e, chance)
 	if !ok {
-		return p.report(now, e, all(c, Fate{Status: 503, Why: "queue full"}, false))
+		return p.report(now, e, all(c, Outcome{Status: 503, Cause: "queue full"}, false))
 	}
-	fate := Fate{Status: 200, After: after}
+	fate := Outcome{Status: 200, Delay: after}
 	for _, odd := range []struct {
 		kind string
-		way  Way
-	}{{scenario.Lost, Silent}, {scenario.Reset, Break}, {scenario.Late, Late}, {scenario.Cut, CutOff}, {scenario.Spoil, Spoilt}, {scenario.Close, Close}} {
+		way  CallEnd
+	}{{scenario.LoseAnswers, NoAnswer}, {scenario.ResetConnections, ConnectionReset}, {scenario.LateAnswers, AnsweredLate}, {scenario.TruncateAnswers, AnswerTruncated}, {scenario.CorruptAnswers, AnswerCorrupted}, {scenario.CloseAfterAnswer, ClosedAfterAnswer}} {
 		if f := p.hit(odd.kind, now, e); f != nil && chance.Float64() < f.Share {
-			fate.Way, fate.Why = odd.way, f.Kind
+			fate.End, fate.Cause = odd.way, f.Kind
 			break
 		}
 	}
@@ -158,17 +158,17 @@
 }
 
 // all gives each notification of a call the same end.
-func all(c Call, f Fate, ran bool) Fate {
-	state := record.Odd
+func all(c Call, f Outcome, ran bool) Outcome {
+	state := record.Unreadable
 	switch {
-	case f.Way == Silent || f.Way == Break || f.Way == Late:
-		state = record.Open
-	case (f.Way == Answer || f.Way == Close) && f.Status == 200:
-		state = record.Done
-	case f.Way == Answer && f.Status == 500:
+	case f.End == NoAnswer || f.End == ConnectionReset || f.End == AnsweredLate:
+		state = record.Unanswered
+	case (f.End == Answered || f.End == ClosedAfterAnswer) && f.Status == 200:
+		state = record.Delivered
+	case f.End == Answered && f.Status == 500:
 		state = record.Failed
-	case f.Way == Answer:
-		state = record.Busy
+	case f.End == Answered:
+		state = record.Throttled
 	}
 	for range c.IDs {
 		f.States, f.Ran = append(f.States, state), append(f.Ran, ran)
@@ -177,16 +177,16 @@
 }
 
 // erring fails a share of a call's notifications soon; half of those that fail have run.
-func (p *Partner) erring(c Call, f *scenario.Fault, chance *rand.Rand) Fate {
+func (p *Partner) erring(c Call, f *scenario.Fault, chance *rand.Rand) Outcome {
 	const soon = 0.005
-	fate := Fate{Status: 200, After: soon, Why: f.Kind}
+	fate := Outcome{Status: 200, Delay: soon, Cause: f.Kind}
 	failed := 0
 	for range c.IDs {
 		if chance.Float64() < f.Share {
 			fate.States, fate.Ran = append(fate.States, record.Failed), append(fate.Ran, chance.IntN(2) == 0)
 			failed++
 		} else {
-			fate.States, fate.Ran = append(fate.States, record.Done), append(fate.Ran, true)
+			fate.States, fate.Ran = append(fate.States, record.Delivered), append(fate.Ran, true)
 		}
 	}
 	if failed == len(c.IDs) {
@@ -197,8 +197,8 @@
 
 // admit spends the limit. Where it is spent it tells when there is some again.
 func (p *Partner) admit(now float64, e scenario.Endpoint) (float64, bool) {
-	limit := p.Limit(now, e)
-	switch p.spec.Kind.Limit {
+	limit := p.RateLimit(now, e)
+	switch p.spec.Kind.LimitKind {
 	case scenario.RateLimit:
 		p.tokens = min(burst(limit), p.tokens+(now-p.filled)*limit)
 		p.filled = now
@@ -206,12 +206,12 @@
 			p.tokens--
 			return 0, true
 		}
-		if p.spec.Kind.CountFull {
+		if p.spec.Kind.CountRejected {
 			p.tokens = max(p.tokens-1, -burst(limit))
 		}
 		return (1 - p.tokens) / limit, false
 	case scenario.WindowLimit:
-		span := p.spec.Kind.Window
+		span := p.spec.Kind.LimitWindow
 		if n := math.Floor(now / span); n != p.span {
 			p.span, p.used = n, 0
 		}
@@ -219,7 +219,7 @@
 			p.used++
 			return 0, true
 		}
-		if p.spec.Kind.CountFull {
+		if p.spec.Kind.CountRejected {
 			p.used++
 		}
 		return (p.span+1)*span - now, false
@@ -227,28 +227,28 @@
 	return 0, true
 }
 
-// Limit is the calls a second that the partner lets through now.
-func (p *Partner) Limit(now float64, e scenario.Endpoint) float64 {
-	if f := p.hit(scenario.Limit, now, e); f != nil {
+// RateLimit is the calls a second that the partner lets through now.
+func (p *Partner) RateLimit(now float64, e scenario.Endpoint) float64 {
+	if f := p.hit(scenario.ChangeLimit, now, e); f != nil {
 		return p.spec.Rate * f.Factor
 	}
 	return p.spec.Rate
 }
 
 // report says in an answer what is left of the limit. A limit that changed untold is told as it was.
-func (p *Partner) report(now float64, e scenario.Endpoint, f Fate) Fate {
-	if !p.spec.Kind.Reports || p.spec.Kind.Limit == scenario.NoLimit {
+func (p *Partner) report(now float64, e scenario.Endpoint, f Outcome) Outcome {
+	if !p.spec.Kind.ReportsLoad || p.spec.Kind.LimitKind == scenario.NoLimit {
 		return f
 	}
-	limit := p.Limit(now, e)
+	limit := p.RateLimit(now, e)
 	left := max(0, p.tokens)
-	if p.spec.Kind.Limit == scenario.WindowLimit {
-		left = max(0, limit-float64(p.used)/p.spec.Kind.Window)
+	if p.spec.Kind.LimitKind == scenario.WindowLimit {
+		left = max(0, limit-float64(p.used)/p.spec.Kind.LimitWindow)
 	}
-	if x := p.hit(scenario.Limit, now, e); x != nil && !x.Tell {
+	if x := p.hit(scenario.ChangeLimit, now, e); x != nil && !x.Announced {
 		left, limit = left*p.spec.Rate/limit, p.spec.Rate
 	}
-	f.Report, f.Limit, f.Share = true, limit, min(1, left/limit)
+	f.HasLoadReport, f.LoadLimit, f.LoadShare = true, limit, min(1, left/limit)
 	return f
 }
 
@@ -265,16 +265,16 @@
 	}
 	start := max(now, slots[free])
 	if start > now {
-		if len(p.starts[e.Index]) >= p.spec.Kind.Queue {
+		if len(p.starts[e.Index]) >= p.spec.Kind.QueueLength {
 			return 0, false
 		}
 		p.starts[e.Index] = append(p.starts[e.Index], start)
 	}
-	work := p.spec.Service * math.Exp(p.spec.Spread*chance.NormFloat64())
-	if !p.world.Down(p.spec.Dest, now) { // what still works in an outage is as fast as before
-		work /= p.world.Warmth(p.spec.Dest, now)
+	work := p.spec.ServiceTime * math.Exp(p.spec.ServiceSigma*chance.NormFloat64())
+	if !p.world.InOutage(p.spec.Dest, now) { // what still works in an outage is as fast as before
+		work /= p.world.CapacityShare(p.spec.Dest, now)
 	}
-	if f := p.hit(scenario.Slow, now, e); f != nil {
+	if f := p.hit(scenario.SlowAnswers, now, e); f != nil {
 		work *= f.Factor
 	}
 	slots[free] = start + work
--- a/lab/behaviour/behaviour_test.go
+++ b/lab/behaviour/behaviour_test.go
@@ -14,8 +14,8 @@
 		troubles[i].Destinations = []int{0}
 	}
 	s := &scenario.Scenario{Seed: 1, Length: 20, Kinds: []scenario.Kind{kind}, Troubles: troubles,
-		Returns: scenario.Returns{ColdFrom: 0.25, ColdSpan: 4, Multiple: 2, Fall: 1.5}, Load: scenario.Load{Rate: 1},
-		Groups: []scenario.Destinations{{Count: 1, Kind: "k", Endpoints: 1, Share: 1, Room: 1, LeastRate: 4, Service: 0.25}}}
+		Recovery: scenario.Recovery{InitialCapacity: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5}, Load: scenario.Load{Rate: 1},
+		Groups: []scenario.DestinationGroup{{Count: 1, Kind: "k", Endpoints: 1, Share: 1, CapacityFactor: 1, MinRate: 4, ServiceTime: 0.25}}}
 	w := scenario.NewWorld(s)
 	return behaviour.New(w, w.Partners[0])
 }
@@ -23,10 +23,10 @@
 // show prints what becomes of calls, one at each moment.
 func show(p *behaviour.Partner, at ...float64) {
 	for i, t := range at {
-		f := p.Arrive(t, 0, behaviour.Call{IDs: []string{fmt.Sprint("n", i)}})
-		fmt.Printf("%.2f: way %d status %d after %.2f wait %.2f %q ran %v because %q", t, f.Way, f.Status, f.After, f.Wait, f.States[0], f.Ran[0], f.Why)
-		if f.Report {
-			fmt.Printf(" left %.2f of %.2f", f.Share, f.Limit)
+		f := p.HandleCall(t, 0, behaviour.Call{IDs: []string{fmt.Sprint("n", i)}})
+		fmt.Printf("%.2f: way %d status %d after %.2f wait %.2f %q ran %v because %q", t, f.End, f.Status, f.Delay, f.ToldWait, f.States[0], f.Ran[0], f.Cause)
+		if f.HasLoadReport {
+			fmt.Printf(" left %.2f of %.2f", f.LoadShare, f.LoadLimit)
 		}
 		fmt.Println()
 	}
@@ -34,7 +34,7 @@
 
 // A plain rate lets half a second's calls through at once, then as many as come back; it tells when.
 func Example_rate() {
-	show(partner(scenario.Kind{Limit: scenario.RateLimit, TellWait: 1, Wait: 0.1, Reports: true, Queue: 9}), 1, 1, 1, 1.25, 1.3)
+	show(partner(scenario.Kind{LimitKind: scenario.RateLimit, ToldWaitShare: 1, MinToldWait: 0.1, ReportsLoad: true, QueueLength: 9}), 1, 1, 1, 1.25, 1.3)
 	// Output:
 	// 1.00: way 0 status 200 after 0.25 wait 0.00 "done" ran true because "" left 0.25 of 4.00
 	// 1.00: way 0 status 200 after 0.25 wait 0.00 "done" ran true because "" left 0.00 of 4.00
@@ -45,8 +45,8 @@
 
 // A windowed limit that counts refused calls, and one lowered in silence: the report tells the old.
 func Example_window() {
-	show(partner(scenario.Kind{Limit: scenario.WindowLimit, Window: 1, CountFull: true, TellWait: 1, Wait: 0.1, Reports: true, Queue: 9},
-		scenario.Trouble{Kind: scenario.Limit, At: 2, For: 2, Factor: 0.25}), 1.9, 2.1, 2.2, 3.1)
+	show(partner(scenario.Kind{LimitKind: scenario.WindowLimit, LimitWindow: 1, CountRejected: true, ToldWaitShare: 1, MinToldWait: 0.1, ReportsLoad: true, QueueLength: 9},
+		scenario.Trouble{Kind: scenario.ChangeLimit, At: 2, Duration: 2, Factor: 0.25}), 1.9, 2.1, 2.2, 3.1)
 	// Output:
 	// 1.90: way 0 status 200 after 0.25 wait 0.00 "done" ran true because "" left 0.75 of 4.00
 	// 2.10: way 0 status 200 after 0.25 wait 0.00 "done" ran true because "" left 0.00 of 4.00
@@ -56,8 +56,8 @@
 
 // Slots, then a queue, then refusals; work takes longer while cold.
 func Example_queue() {
-	show(partner(scenario.Kind{Queue: 1}), 1, 1, 1, 1)
-	show(partner(scenario.Kind{Queue: 1}, scenario.Trouble{Kind: scenario.Shut, At: 1, For: 1, Tell: true}), 1.5, 2, 4, 9)
+	show(partner(scenario.Kind{QueueLength: 1}), 1, 1, 1, 1)
+	show(partner(scenario.Kind{QueueLength: 1}, scenario.Trouble{Kind: scenario.RejectAll, At: 1, Duration: 1, Announced: true}), 1.5, 2, 4, 9)
 	// Output:
 	// 1.00: way 0 status 200 after 0.25 wait 0.00 "done" ran true because ""
 	// 1.00: way 0 status 200 after 0.25 wait 0.00 "done" ran true because ""
@@ -73,16 +73,16 @@
 // being 3 or a little more as it warms, whether they come in a burst or not.
 func Example_fall() {
 	for _, n := range []int{11, 12} {
-		burst := partner(scenario.Kind{Queue: 99}, scenario.Trouble{Kind: scenario.Hang, At: 0, For: 1})
+		burst := partner(scenario.Kind{QueueLength: 99}, scenario.Trouble{Kind: scenario.Hang, At: 0, Duration: 1})
 		for i := range n {
-			burst.Arrive(1.1, 0, behaviour.Call{IDs: []string{fmt.Sprint(i)}})
+			burst.HandleCall(1.1, 0, behaviour.Call{IDs: []string{fmt.Sprint(i)}})
 		}
-		fmt.Println("a burst of", n, burst.Fallen())
+		fmt.Println("a burst of", n, burst.Collapsed())
 	}
-	steady := partner(scenario.Kind{Queue: 99}, scenario.Trouble{Kind: scenario.Hang, At: 0, For: 1})
-	for i := 0; !steady.Fallen() && i < 40; i++ {
+	steady := partner(scenario.Kind{QueueLength: 99}, scenario.Trouble{Kind: scenario.Hang, At: 0, Duration: 1})
+	for i := 0; !steady.Collapsed() && i < 40; i++ {
 		at := 1.1 + float64(i)*0.1
-		if steady.Arrive(at, 0, behaviour.Call{IDs: []string{fmt.Sprint(i)}}); steady.Fallen() {
+		if steady.HandleCall(at, 0, behaviour.Call{IDs: []string{fmt.Sprint(i)}}); steady.Collapsed() {
 			fmt.Printf("ten a second: fallen at %.1f\n", at)
 		}
 	}
@@ -96,13 +96,13 @@
 
 // The faults, one each: what has run is told by nobody but the partner.
 func Example_faults() {
-	for _, kind := range []string{scenario.Hang, scenario.Errors, scenario.Lost, scenario.Reset, scenario.Late, scenario.Cut, scenario.Spoil, scenario.Close} {
-		show(partner(scenario.Kind{Queue: 9}, scenario.Trouble{Kind: kind, At: 1, For: 1, Share: 1}), 1.5)
+	for _, kind := range []string{scenario.Hang, scenario.FailCalls, scenario.LoseAnswers, scenario.ResetConnections, scenario.LateAnswers, scenario.TruncateAnswers, scenario.CorruptAnswers, scenario.CloseAfterAnswer} {
+		show(partner(scenario.Kind{QueueLength: 9}, scenario.Trouble{Kind: kind, At: 1, Duration: 1, Share: 1}), 1.5)
 	}
-	p := partner(scenario.Kind{Queue: 9}, scenario.Trouble{Kind: scenario.Reused, At: 1, For: 1, Share: 1},
-		scenario.Trouble{Kind: scenario.Refuse, At: 3, For: 1}, scenario.Trouble{Kind: scenario.Drain, At: 5, Wait: 1})
-	fmt.Println(p.Arrive(1.5, 0, behaviour.Call{IDs: []string{"a"}, Reused: true}).Way, p.Arrive(1.5, 0, behaviour.Call{IDs: []string{"b"}}).Way)
-	fmt.Println(p.Takes(2, 0), p.Takes(3.5, 0), p.Takes(6.5, 0), p.Takes(7.1, 0), "and its follower", p.Takes(4, 1), p.Takes(5, 1))
+	p := partner(scenario.Kind{QueueLength: 9}, scenario.Trouble{Kind: scenario.BreakReused, At: 1, Duration: 1, Share: 1},
+		scenario.Trouble{Kind: scenario.RefuseConnections, At: 3, Duration: 1}, scenario.Trouble{Kind: scenario.Drain, At: 5, Wait: 1})
+	fmt.Println(p.HandleCall(1.5, 0, behaviour.Call{IDs: []string{"a"}, Reused: true}).End, p.HandleCall(1.5, 0, behaviour.Call{IDs: []string{"b"}}).End)
+	fmt.Println(p.AcceptsConnections(2, 0), p.AcceptsConnections(3.5, 0), p.AcceptsConnections(6.5, 0), p.AcceptsConnections(7.1, 0), "and its follower", p.AcceptsConnections(4, 1), p.AcceptsConnections(5, 1))
 	// Output:
 	// 1.50: way 1 status 0 after 0.00 wait 0.00 "" ran false because "hang"
 	// 1.50: way 0 status 500 after 0.01 wait 0.00 "failed" ran true because "errors"
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -25,19 +25,19 @@
 
 // Command starts a dispatcher; the ROUTER_ variables are added.
 type Command struct {
-	Path    string
-	Args    []string
-	Env     []string
-	Profile bool // a CPU profile of each goes beside its log
+	Path       string
+	Args       []string
+	Env        []string
+	CPUProfile bool // a CPU profile of each goes beside its log
 }
 
 // Usage is what a dispatcher's processes used.
 type Usage struct {
-	CPU         float64 `json:"cpu_s"`       // seconds, over the load
-	Peak        int     `json:"peak_bytes"`  // resident memory
-	AtRest      int     `json:"rest_bytes"`  // resident once ready
-	Descriptors int     `json:"descriptors"` // most
-	Disk        int     `json:"disk_bytes"`  // most that its folder held, in whole blocks
+	CPUSeconds      float64 `json:"cpu_s"`       // seconds, over the load
+	PeakBytes       int     `json:"peak_bytes"`  // resident memory
+	IdleBytes       int     `json:"rest_bytes"`  // resident once ready
+	PeakDescriptors int     `json:"descriptors"` // most
+	PeakDiskBytes   int     `json:"disk_bytes"`  // most that its folder held, in whole blocks
 }
 
 // Fleet is all dispatchers of a run.
@@ -81,7 +81,7 @@
 	for i := range w.Dispatchers.Count {
 		p := &process{number: i, state: filepath.Join(state, fmt.Sprintf("d%d.state", i))}
 		f.all = append(f.all, p)
-		if err := errors.Join(f.configure(i, network.Agent(i)), os.MkdirAll(p.state, 0o700)); err != nil {
+		if err := errors.Join(f.configure(i, network.AgentAddr(i)), os.MkdirAll(p.state, 0o700)); err != nil {
 			return f, err
 		}
 	}
@@ -99,7 +99,7 @@
 // configure writes a dispatcher's configuration.
 func (f *Fleet) configure(i int, discovery string) error {
 	d := f.world.Dispatchers
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("d%d", i), "listen": f.network.Dispatcher(i),
+	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("d%d", i), "listen": f.network.DispatcherAddr(i),
 		"discovery": discovery, "seed": fmt.Sprintf("%x", f.world.Seed*1000+uint64(i)), "known": f.known,
 		"limits":   map[string]any{"cores": d.Cores, "memory_mb": d.MemoryMB, "sockets": d.Sockets, "disk_mb": d.DiskMB},
 		"settings": settings(f.world)})
@@ -112,8 +112,8 @@
 
 func (f *Fleet) config(i int) string { return filepath.Join(f.dir, fmt.Sprintf("d%d.json", i)) }
 
-// Log is where a dispatcher's log goes.
-func (f *Fleet) Log(i int) string { return filepath.Join(f.dir, fmt.Sprintf("d%d.log", i)) }
+// LogPath is where a dispatcher's log goes.
+func (f *Fleet) LogPath(i int) string { return filepath.Join(f.dir, fmt.Sprintf("d%d.log", i)) }
 
 // start starts a dispatcher and waits until it is ready.
 func (f *Fleet) start(ctx context.Context, p *process) error {
@@ -126,19 +126,19 @@
 
 // launch starts a dispatcher.
 func (f *Fleet) launch(p *process) (*exec.Cmd, chan struct{}, error) {
-	log, err := os.OpenFile(f.Log(p.number), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(f.LogPath(p.number), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer log.Close()
 	args := slices.Clone(f.command.Args)
-	if f.command.Profile {
+	if f.command.CPUProfile {
 		args = append(args, "--cpuprofile", filepath.Join(f.dir, fmt.Sprintf("d%d.pprof", p.number)))
 	}
 	cmd := exec.Command(f.command.Path, args...)
 	cmd.Env = append(append(os.Environ(), f.command.Env...), "ROUTER_CONFIG="+f.config(p.number), "ROUTER_STATE="+p.state,
-		fmt.Sprintf("ROUTER_NAME=d%d", p.number), "ROUTER_LISTEN="+f.network.Dispatcher(p.number),
-		"ROUTER_DISCOVERY="+f.network.Agent(p.number))
+		fmt.Sprintf("ROUTER_NAME=d%d", p.number), "ROUTER_LISTEN="+f.network.DispatcherAddr(p.number),
+		"ROUTER_DISCOVERY="+f.network.AgentAddr(p.number))
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // Ctrl-C is ours: we end it in order
 	if err := cmd.Start(); err != nil {
@@ -158,7 +158,7 @@
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	for begun := time.Now(); time.Since(begun) < readyIn && ctx.Err() == nil; {
-		resp, err := client.Get("http://" + f.network.Dispatcher(p.number) + "/_health")
+		resp, err := client.Get("http://" + f.network.DispatcherAddr(p.number) + "/_health")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -168,7 +168,7 @@
 		}
 		select {
 		case <-ended:
-			return fmt.Errorf("dispatcher %d ended before it was ready: its log is %s", p.number, f.Log(p.number))
+			return fmt.Errorf("dispatcher %d ended before it was ready: its log is %s", p.number, f.LogPath(p.number))
 		case <-ctx.Done():
 		case <-time.After(5 * time.Millisecond):
 		}
@@ -176,7 +176,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return fmt.Errorf("dispatcher %d was not ready in %v: its log is %s", p.number, readyIn, f.Log(p.number))
+	return fmt.Errorf("dispatcher %d was not ready in %v: its log is %s", p.number, readyIn, f.LogPath(p.number))
 }
 
 // ready notes that a process is ready, unless it was told to end meanwhile.
@@ -191,7 +191,7 @@
 	f.read(p)
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.usage.AtRest = max(p.usage.AtRest, p.usage.Peak)
+	p.usage.IdleBytes = max(p.usage.IdleBytes, p.usage.PeakBytes)
 	p.spare = p.cpu
 }
 
@@ -200,11 +200,11 @@
 	err := cmd.Wait()
 	p.lock.Lock()
 	asked := p.asked
-	p.usage.CPU += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds() - p.spare
+	p.usage.CPUSeconds += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds() - p.spare
 	p.cpu, p.spare = 0, 0
 	p.lock.Unlock()
 	if asked {
-		f.life(p, record.Ended, "")
+		f.life(p, record.Exited, "")
 	} else {
 		f.life(p, record.Crashed, fmt.Sprint("it ended with ", cmd.ProcessState, errorText(err)))
 	}
@@ -227,7 +227,7 @@
 }
 
 func (f *Fleet) life(p *process, what, text string) {
-	f.journal.Life(record.Life{Dispatcher: p.number, At: f.clock.Now(), What: what, Text: text})
+	f.journal.AddProcessEvent(record.ProcessEvent{Dispatcher: p.number, At: f.clock.Now(), Kind: what, Detail: text})
 }
 
 // signal sends a signal to a dispatcher's process if it stands.
@@ -250,14 +250,14 @@
 // term tells a dispatcher's process to end, and notes it.
 func (f *Fleet) term(p *process) {
 	f.signal(p, syscall.SIGTERM, true)
-	f.life(p, record.Termed, "")
+	f.life(p, record.TerminateSent, "")
 }
 
-// Play carries out the dispatchers' troubles until the run is over.
-func (f *Fleet) Play(ctx context.Context) {
+// InjectFaults carries out the dispatchers' troubles until the run is over.
+func (f *Fleet) InjectFaults(ctx context.Context) {
 	for _, t := range f.world.Troubles {
 		for _, p := range f.all {
-			if t.OfDispatchers() && t.Kind != scenario.ListDown && t.Kind != scenario.ListSlow && t.Concerns(p.number) {
+			if t.AffectsDispatchers() && t.Kind != scenario.ListDown && t.Kind != scenario.ListSlow && t.AppliesToDispatcher(p.number) {
 				f.done.Go(func() { f.trouble(ctx, p, t) })
 			}
 		}
@@ -276,7 +276,7 @@
 	if !pause(ctx, f.clock.Until(t.At)) {
 		return
 	}
-	if t.Kind == scenario.Move { // whatever else goes on: the agent has moved
+	if t.Kind == scenario.MoveAgent { // whatever else goes on: the agent has moved
 		f.move(ctx, p)
 		return
 	}
@@ -284,9 +284,9 @@
 	defer p.turn.Unlock()
 	switch t.Kind {
 	case scenario.Stall:
-		f.stall(ctx, p, t.For)
+		f.stall(ctx, p, t.Duration)
 		return
-	case scenario.Series:
+	case scenario.SignalSeries:
 		f.series(ctx, p, t)
 		return
 	case scenario.Kill:
@@ -310,7 +310,7 @@
 // move tells a dispatcher that its agent has moved, by a new configuration and SIGHUP. A process that starts meanwhile reads the new
 // configuration, whole: it takes the place of the old one at once.
 func (f *Fleet) move(ctx context.Context, p *process) {
-	if err := f.configure(p.number, f.network.Moved(p.number)); err != nil {
+	if err := f.configure(p.number, f.network.MovedAgentAddr(p.number)); err != nil {
 		f.life(p, record.Crashed, err.Error())
 	}
 	for {
@@ -366,10 +366,10 @@
 	if proc, err := procfs.NewProc(p.cmd.Process.Pid); err == nil {
 		if stat, err := proc.Stat(); err == nil {
 			p.cpu = stat.CPUTime()
-			u.Peak = max(u.Peak, stat.ResidentMemory())
+			u.PeakBytes = max(u.PeakBytes, stat.ResidentMemory())
 		}
 		if n, err := proc.FileDescriptorsLen(); err == nil {
-			u.Descriptors = max(u.Descriptors, n)
+			u.PeakDescriptors = max(u.PeakDescriptors, n)
 		}
 	}
 	held := 0
@@ -380,15 +380,15 @@
 			held += int(info.Size()+block-1) / block * block
 		}
 	}
-	u.Disk = max(u.Disk, held)
+	u.PeakDiskBytes = max(u.PeakDiskBytes, held)
 	for i, x := range []struct {
 		what string
 		used int
 		most float64
-	}{{"memory", u.Peak, f.world.Dispatchers.MemoryMB}, {"disk", u.Disk, f.world.Dispatchers.DiskMB}} {
+	}{{"memory", u.PeakBytes, f.world.Dispatchers.MemoryMB}, {"disk", u.PeakDiskBytes, f.world.Dispatchers.DiskMB}} {
 		if float64(x.used) > x.most*1e6 && !p.over[i] {
 			p.over[i] = true
-			f.life(p, record.OverUse, fmt.Sprintf("%s: %d bytes, where %.0f MB are its limit", x.what, x.used, x.most))
+			f.life(p, record.LimitExceeded, fmt.Sprintf("%s: %d bytes, where %.0f MB are its limit", x.what, x.used, x.most))
 		}
 	}
 }
@@ -399,7 +399,7 @@
 	for _, p := range f.all {
 		p.lock.Lock()
 		u := p.usage
-		u.CPU += p.cpu - p.spare
+		u.CPUSeconds += p.cpu - p.spare
 		list = append(list, u)
 		p.lock.Unlock()
 	}
--- a/lab/fleet/series.go
+++ b/lab/fleet/series.go
@@ -24,8 +24,8 @@
 	chance := rand.New(rand.NewPCG(f.world.Seed, uint64(p.number)<<32|uint64(t.At*1000)))
 	var starts sync.WaitGroup
 	defer starts.Wait()
-	gap := t.For / float64(max(1, t.Times))
-	for range t.Times {
+	gap := t.Duration / float64(max(1, t.SignalCount))
+	for range t.SignalCount {
 		switch x := chance.Float64(); {
 		case x < stallShare:
 			f.stall(ctx, p, longestStall*chance.Float64())
@@ -69,7 +69,7 @@
 	f.signal(p, syscall.SIGSTOP, false)
 	pause(ctx, seconds(s))
 	f.signal(p, syscall.SIGCONT, false)
-	f.life(p, record.Woken, "")
+	f.life(p, record.Resumed, "")
 }
 
 // ended tells that a dispatcher's process is gone.
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -25,29 +25,29 @@
 
 // Options say how a scenario is played.
 type Options struct {
-	Command  fleet.Command  // starts a dispatcher
-	Straight bool           // hand in straight to the partners, with no dispatcher
-	State    string         // where the dispatchers' lasting folders are made; "" for the temporary folder
-	Keep     string         // a folder for configurations, logs and the journal; "" to throw them away
-	Network  loop.Network   // 0 to find a free one
-	Progress func(Progress) // called once a second
-	Shape    partner.Shape  // of endpoints' answers on the wire; nil: with a length
-	Beside   Beside         // nil for nothing
+	Command     fleet.Command           // starts a dispatcher
+	Direct      bool                    // hand in straight to the partners, with no dispatcher
+	StateDir    string                  // where the dispatchers' lasting folders are made; "" for the temporary folder
+	KeepDir     string                  // a folder for configurations, logs and the journal; "" to throw them away
+	Network     loop.Network            // 0 to find a free one
+	Progress    func(Progress)          // called once a second
+	AnswerShape partner.ResponseEncoder // of endpoints' answers on the wire; nil: with a length
+	Hooks       Hooks                   // nil for nothing
 }
 
-// Beside is what else goes on in a run: Begin is called once all stands, before the load comes, and gives the front that
+// Hooks is what else goes on in a run: Begin is called once all stands, before the load comes, and gives the front that
 // clients go through; Over is called once the load is over and all that was taken on is too, while the dispatchers still run.
-type Beside interface {
-	Begin(ctx context.Context, n loop.Network, j *record.Journal, c *loop.Clock, front load.Front) (load.Front, error)
-	Over()
+type Hooks interface {
+	BeforeLoad(ctx context.Context, n loop.Network, j *record.Journal, c *loop.Clock, front load.Balancer) (load.Balancer, error)
+	AfterLoad()
 }
 
 // Progress is how far a run is.
 type Progress struct {
-	At, Length      float64
-	Handed, Planned int
-	Calls, Notices  int
-	Waiting         bool // the load is over, and what was taken on is waited for
+	At, Length        float64
+	HandedIn, Planned int
+	Calls, Notices    int
+	LoadDone          bool // the load is over, and what was taken on is waited for
 }
 
 const (
@@ -60,14 +60,14 @@
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*report.Result, *record.Journal, error) {
 	w := scenario.NewWorld(s)
 	j, clock := &record.Journal{}, &loop.Clock{}
-	dir, err := folder(o.Keep)
+	dir, err := folder(o.KeepDir)
 	if err != nil {
 		return nil, nil, err
 	}
-	if o.Keep == "" {
+	if o.KeepDir == "" {
 		defer os.RemoveAll(dir)
 	}
-	state, err := os.MkdirTemp(o.State, "orchiddrift-state-")
+	state, err := os.MkdirTemp(o.StateDir, "orchiddrift-state-")
 	if err != nil {
 		return nil, nil, fmt.Errorf("--state: %w", err)
 	}
@@ -75,12 +75,12 @@
 	network := o.Network
 	if network == 0 {
 		var release func()
-		if network, release, err = loop.Find(); err != nil {
+		if network, release, err = loop.AcquireNetwork(); err != nil {
 			return nil, nil, err
 		}
 		defer release()
 	}
-	partners, err := partner.Start(w, j, clock, network, o.Shape)
+	partners, err := partner.Start(w, j, clock, network, o.AnswerShape)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -91,12 +91,12 @@
 	}
 	defer agents.Close()
 
-	clients := &load.Load{World: w, Journal: j, Clock: clock, Arrivals: w.Arrivals(), Front: load.NewSpread(w, network, clock)}
+	clients := &load.Generator{World: w, Journal: j, Clock: clock, Arrivals: w.Arrivals(), Balancer: load.NewRoundRobin(w, network, clock)}
 	var dispatchers *fleet.Fleet
-	if o.Straight {
-		clients.Front = &load.Straight{World: w, Addr: partners.Addr}
+	if o.Direct {
+		clients.Balancer = &load.Direct{World: w, Addr: partners.Addr}
 	} else {
-		dispatchers, err = fleet.Start(ctx, w, j, clock, network, agents.Known(), o.Command, dir, state)
+		dispatchers, err = fleet.Start(ctx, w, j, clock, network, agents.InitialList(), o.Command, dir, state)
 		if err != nil {
 			dispatchers.Stop()
 			return nil, nil, err
@@ -104,13 +104,13 @@
 	}
 	playing, played := context.WithCancel(ctx)
 	defer played()
-	clock.Begin()
+	clock.Start()
 	if dispatchers != nil {
-		dispatchers.Play(playing)
+		dispatchers.InjectFaults(playing)
 	}
 	go busyDisk(playing, w, clock, state)
-	if o.Beside != nil {
-		if clients.Front, err = o.Beside.Begin(playing, network, j, clock, clients.Front); err != nil {
+	if o.Hooks != nil {
+		if clients.Balancer, err = o.Hooks.BeforeLoad(playing, network, j, clock, clients.Balancer); err != nil {
 			dispatchers.Stop()
 			return nil, nil, err
 		}
@@ -122,8 +122,8 @@
 	}()
 	await(ctx, w, j, clock, clients, loaded, o)
 	ended := clock.Now()
-	if o.Beside != nil {
-		o.Beside.Over()
+	if o.Hooks != nil {
+		o.Hooks.AfterLoad()
 	}
 	played()
 	<-loaded
@@ -134,26 +134,26 @@
 	}
 
 	var result *report.Result
-	j.Change(func() {
-		result = report.New(report.Run{World: w, Journal: j, Ended: ended, Handed: clients.Handed(), Planned: clients.Planned(),
+	j.WithLock(func() {
+		result = report.New(report.RunData{World: w, Journal: j, EndedAt: ended, HandedIn: clients.Submitted(), Planned: clients.Planned(),
 			Lateness: clients.Lateness(), Usage: usage})
-		if !o.Straight {
+		if !o.Direct {
 			result.Violations = rules.Check(w, j, ended)
 		}
 	})
-	result.Straight, result.Interrupted = o.Straight, ctx.Err() != nil
-	if late := result.Lateness.P99; s.Load.Closed == 0 && late > s.Load.LateBound {
-		result.Void = fmt.Sprintf("the generator itself was late by %.0f ms at p99, of %.0f ms allowed: lower load.rate or free cores",
-			late*1e3, s.Load.LateBound*1e3)
+	result.Direct, result.Interrupted = o.Direct, ctx.Err() != nil
+	if late := result.Lateness.P99; s.Load.ClosedLoop == 0 && late > s.Load.MaxLateness {
+		result.VoidReason = fmt.Sprintf("the generator itself was late by %.0f ms at p99, of %.0f ms allowed: lower load.rate or free cores",
+			late*1e3, s.Load.MaxLateness*1e3)
 	}
-	if o.Keep != "" {
+	if o.KeepDir != "" {
 		err = keep(j, filepath.Join(dir, "journal.jsonl"))
 	}
 	return result, j, err
 }
 
 // await returns when the load is over and so is all that was taken on, or when nothing of it can be judged any more.
-func await(ctx context.Context, w *scenario.World, j *record.Journal, clock *loop.Clock, clients *load.Load,
+func await(ctx context.Context, w *scenario.World, j *record.Journal, clock *loop.Clock, clients *load.Generator,
 	loaded <-chan struct{}, o Options) {
 	longest := 0.0
 	for _, t := range w.Topics {
@@ -171,13 +171,13 @@
 			over = true
 		default:
 		}
-		if over && (o.Straight || clock.Now() > w.Length+longest+goOn || report.Owed(j) == 0 && clock.Now() >= w.Length) {
+		if over && (o.Direct || clock.Now() > w.Length+longest+goOn || report.CountOwed(j) == 0 && clock.Now() >= w.Length) {
 			return
 		}
 		if o.Progress != nil && time.Since(told) >= tellEvery {
 			told = time.Now()
-			p := Progress{At: clock.Now(), Length: w.Length, Handed: clients.Handed(), Planned: clients.Planned(), Waiting: over}
-			j.Change(func() { p.Calls, p.Notices = len(j.Calls), len(j.Notices) })
+			p := Progress{At: clock.Now(), Length: w.Length, HandedIn: clients.Submitted(), Planned: clients.Planned(), LoadDone: over}
+			j.WithLock(func() { p.Calls, p.Notices = len(j.Calls), len(j.Notices) })
 			o.Progress(p)
 		}
 	}
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -91,8 +91,8 @@
 			if want == "" && got != "" || !strings.Contains(got, want) {
 				t.Errorf("broke %q, want %q; first: %v", got, want, r.Violations[:min(3, len(r.Violations))])
 			}
-			if r.Totals.Handed != r.Totals.Planned || r.Totals.Taken == 0 {
-				t.Errorf("handed in %d of %d, %d taken on", r.Totals.Handed, r.Totals.Planned, r.Totals.Taken)
+			if r.Totals.HandedIn != r.Totals.Planned || r.Totals.Accepted == 0 {
+				t.Errorf("handed in %d of %d, %d taken on", r.Totals.HandedIn, r.Totals.Planned, r.Totals.Accepted)
 			}
 		})
 	}
@@ -147,27 +147,27 @@
 		t.Error(v)
 	}
 	done := 0
-	for _, l := range j.Lives {
-		if l.What == record.Killed {
+	for _, l := range j.ProcessEvents {
+		if l.Kind == record.Killed {
 			done++
 		}
 	}
 	if done != kills || r.Totals.Delivered*3 < r.Totals.Planned {
 		t.Errorf("%d kills of %d, %d delivered of %d", done, kills, r.Totals.Delivered, r.Totals.Planned)
 	}
-	t.Logf("%d kills in %.0f s: %d taken on, %d delivered, %d given up, %d handed back, %d pushes", done, r.Ended, r.Totals.Taken,
+	t.Logf("%d kills in %.0f s: %d taken on, %d delivered, %d given up, %d handed back, %d pushes", done, r.EndedAt, r.Totals.Accepted,
 		r.Totals.Delivered, r.Totals.GivenUp, r.Totals.HandedBack, r.Totals.Pushes)
 }
 
 // What does not come up is told in one line, and leaves nothing behind.
 func TestBadStart(t *testing.T) {
 	s := open("calm")
-	network, release, err := loop.Find()
+	network, release, err := loop.AcquireNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer release()
-	taken, err := net.Listen("tcp", network.Endpoint(3))
+	taken, err := net.Listen("tcp", network.EndpointAddr(3))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 	if err == nil || !strings.Contains(err.Error(), "ended before it was ready") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("a dispatcher that does not come up: %v", err)
 	}
-	_, _, err = lab.Run(context.Background(), s, lab.Options{Command: command("run"), State: "/nowhere"})
+	_, _, err = lab.Run(context.Background(), s, lab.Options{Command: command("run"), StateDir: "/nowhere"})
 	if err == nil || !strings.HasPrefix(err.Error(), "--state: ") {
 		t.Errorf("no folder: %v", err)
 	}
@@ -193,12 +193,12 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	r, j, err := lab.Run(ctx, s, lab.Options{Command: command("run"), Keep: dir})
+	r, j, err := lab.Run(ctx, s, lab.Options{Command: command("run"), KeepDir: dir})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Interrupted || len(j.HandIns) == 0 || r.Totals.Handed >= r.Totals.Planned {
-		t.Errorf("interrupted %v with %d of %d handed in", r.Interrupted, r.Totals.Handed, r.Totals.Planned)
+	if !r.Interrupted || len(j.HandIns) == 0 || r.Totals.HandedIn >= r.Totals.Planned {
+		t.Errorf("interrupted %v with %d of %d handed in", r.Interrupted, r.Totals.HandedIn, r.Totals.Planned)
 	}
 	if info, err := os.Stat(filepath.Join(dir, "journal.jsonl")); err != nil || info.Size() == 0 {
 		t.Errorf("no journal: %v", err)
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -12,9 +12,9 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Spread is a plain front: it deals hand-ins out to dispatchers in turn, keeps a key with one dispatcher while that is
+// RoundRobin is a plain front: it deals hand-ins out to dispatchers in turn, keeps a key with one dispatcher while that is
 // alive, and learns of a dead one only after a while.
-type Spread struct {
+type RoundRobin struct {
 	network loop.Network
 	clock   *loop.Clock
 	learns  float64
@@ -24,14 +24,14 @@
 	looked  []float64 // and when it was tried last
 }
 
-// NewSpread returns a front of so many dispatchers.
-func NewSpread(w *scenario.World, network loop.Network, clock *loop.Clock) *Spread {
+// NewRoundRobin returns a front of so many dispatchers.
+func NewRoundRobin(w *scenario.World, network loop.Network, clock *loop.Clock) *RoundRobin {
 	n := w.Dispatchers.Count
-	return &Spread{network: network, clock: clock, learns: w.Load.FrontLearns, dead: make([]float64, n), looked: make([]float64, n)}
+	return &RoundRobin{network: network, clock: clock, learns: w.Load.FailureDetectionDelay, dead: make([]float64, n), looked: make([]float64, n)}
 }
 
 // Choose picks a dispatcher.
-func (s *Spread) Choose(client int, key string, _, try int) (Target, bool) {
+func (s *RoundRobin) Choose(client int, key string, _, try int) (Target, bool) {
 	first := int(s.turn.Add(1))
 	if key != "" {
 		first = int(xxhash.Sum64String(key) % uint64(len(s.dead)))
@@ -47,13 +47,13 @@
 			}
 			s.looked[d] = now
 		}
-		return Target{Dispatcher: d, Addr: s.network.Dispatcher(d), Path: "/api"}, true
+		return Target{Dispatcher: d, Addr: s.network.DispatcherAddr(d), Path: "/api"}, true
 	}
 	return Target{}, false
 }
 
-// Dead notes that a dispatcher takes no connection.
-func (s *Spread) Dead(t Target) {
+// MarkDown notes that a dispatcher takes no connection.
+func (s *RoundRobin) MarkDown(t Target) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.dead[t.Dispatcher] == 0 {
@@ -62,31 +62,31 @@
 	}
 }
 
-// Alive notes that a dispatcher answered.
-func (s *Spread) Alive(t Target) {
+// MarkUp notes that a dispatcher answered.
+func (s *RoundRobin) MarkUp(t Target) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.dead[t.Dispatcher] = 0
 }
 
-// Straight leads to the partners themselves, with no dispatcher between.
-type Straight struct {
+// Direct leads to the partners themselves, with no dispatcher between.
+type Direct struct {
 	World *scenario.World
 	Addr  func(scenario.Endpoint) string
 	turn  atomic.Int64
 }
 
 // Choose picks an endpoint of the destination in turn.
-func (s *Straight) Choose(_ int, _ string, dest, _ int) (Target, bool) {
+func (s *Direct) Choose(_ int, _ string, dest, _ int) (Target, bool) {
 	p := s.World.Partners[dest]
 	e := p.Endpoints[int(s.turn.Add(1))%len(p.Endpoints)]
 	return Target{Dispatcher: -1, Addr: s.Addr(e), Path: "/hook"}, true
 }
 
-// Dead does nothing: an endpoint that is down may be up at the next try.
-func (*Straight) Dead(Target) {}
+// MarkDown does nothing: an endpoint that is down may be up at the next try.
+func (*Direct) MarkDown(Target) {}
 
-// Alive does nothing.
-func (*Straight) Alive(Target) {}
+// MarkUp does nothing.
+func (*Direct) MarkUp(Target) {}
 
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -31,13 +31,13 @@
 	Path       string
 }
 
-// Load is the clients of a run.
-type Load struct {
+// Generator is the clients of a run.
+type Generator struct {
 	World    *scenario.World
 	Journal  *record.Journal
 	Clock    *loop.Clock
 	Arrivals []scenario.Arrival
-	Front    Front
+	Balancer Balancer
 	lock     sync.Mutex
 	clients  map[way]*fasthttp.HostClient
 	keys     map[string][]func() // of ordered keys: what waits for its turn
@@ -46,39 +46,39 @@
 	body     []byte
 }
 
-// Front says where a hand-in goes.
-type Front interface {
+// Balancer says where a hand-in goes.
+type Balancer interface {
 	// Choose picks for a client, key and destination, at a try counted from 0.
 	Choose(client int, key string, dest, try int) (Target, bool)
 	// Dead tells that nobody took a connection there, Alive that an answer came.
-	Dead(Target)
-	Alive(Target)
+	MarkDown(Target)
+	MarkUp(Target)
 }
 
 // Lateness is by how much the generator itself was behind its plan.
 type Lateness struct {
-	P50  float64 `json:"p50"`
-	P99  float64 `json:"p99"`
-	Most float64 `json:"max"`
+	P50 float64 `json:"p50"`
+	P99 float64 `json:"p99"`
+	Max float64 `json:"max"`
 }
 
 // Planned is how many notifications the plan holds; Handed how many came to be handed in.
-func (l *Load) Planned() int { return len(l.Arrivals) }
+func (l *Generator) Planned() int { return len(l.Arrivals) }
 
-// Handed is how many notifications were handed in so far.
-func (l *Load) Handed() int { return int(l.handed.Load()) }
+// Submitted is how many notifications were handed in so far.
+func (l *Generator) Submitted() int { return int(l.handed.Load()) }
 
 // Run hands in until the plan or ctx ends, and returns once the last answer is there.
-func (l *Load) Run(ctx context.Context) {
+func (l *Generator) Run(ctx context.Context) {
 	l.clients, l.keys = map[way]*fasthttp.HostClient{}, map[string][]func(){}
 	const most, digits = 60_000_000, 3 // microseconds
 	l.late = hdrhistogram.New(1, most, digits)
-	l.body = make([]byte, l.World.Load.Body)
+	l.body = make([]byte, l.World.Load.BodyBytes)
 	for i := range l.body {
 		l.body[i] = byte('a' + i%26)
 	}
 	var under sync.WaitGroup
-	if l.World.Load.Closed > 0 {
+	if l.World.Load.ClosedLoop > 0 {
 		l.closed(ctx, &under)
 	} else {
 		l.open(ctx, &under)
@@ -87,7 +87,7 @@
 }
 
 // open starts each arrival at its moment.
-func (l *Load) open(ctx context.Context, under *sync.WaitGroup) {
+func (l *Generator) open(ctx context.Context, under *sync.WaitGroup) {
 	for i, a := range l.Arrivals {
 		if wait := l.Clock.Until(a.At); wait > 0 {
 			select {
@@ -109,7 +109,7 @@
 }
 
 // inTurn starts a hand-in, after those of its key that came before.
-func (l *Load) inTurn(a scenario.Arrival, work func()) {
+func (l *Generator) inTurn(a scenario.Arrival, work func()) {
 	key := keyOf(a)
 	if key == "" {
 		go work()
@@ -147,9 +147,9 @@
 }
 
 // closed keeps so many hand-ins going, one after another on each connection.
-func (l *Load) closed(ctx context.Context, under *sync.WaitGroup) {
+func (l *Generator) closed(ctx context.Context, under *sync.WaitGroup) {
 	var next atomic.Int64
-	for range l.World.Load.Closed {
+	for range l.World.Load.ClosedLoop {
 		under.Go(func() {
 			for ctx.Err() == nil && l.Clock.Now() < l.World.Length {
 				i := int(next.Add(1)) - 1
@@ -163,41 +163,41 @@
 }
 
 // handIn hands one notification in, and again as its client may.
-func (l *Load) handIn(ctx context.Context, origin int, a scenario.Arrival) {
+func (l *Generator) handIn(ctx context.Context, origin int, a scenario.Arrival) {
 	topic, planned := l.World.Topics[a.Topic], a.At
 	until, again, tries := planned+topic.TTL, "", 0
 	for try := 0; ctx.Err() == nil && l.Clock.Now() < until; try++ {
-		target, ok := l.Front.Choose(a.Client, keyOf(a), a.Dest, try)
+		target, ok := l.Balancer.Choose(a.Client, keyOf(a), a.Dest, try)
 		if !ok {
-			pause(ctx, l.World.Load.RetryWait)
+			pause(ctx, l.World.Load.RetryDelay)
 			continue
 		}
-		h := &record.HandIn{ID: fmt.Sprintf("%d-%d-%d", a.Dest, origin, try), Origin: origin, Try: try, Topic: topic.Name,
+		h := &record.HandIn{ID: fmt.Sprintf("%d-%d-%d", a.Dest, origin, try), PlanIndex: origin, Try: try, Topic: topic.Name,
 			Tenant: l.World.Tenants[a.Tenant].Name, Dest: a.Dest, Key: keyOf(a), Dispatcher: target.Dispatcher,
-			Planned: planned, Sent: l.Clock.Now(), Until: until}
-		l.Journal.HandIn(h)
+			PlannedAt: planned, SentAt: l.Clock.Now(), ExpiresAt: until}
+		l.Journal.AddHandIn(h)
 		status, wait, why := l.post(h, topic, target, a.Client, again)
-		l.Journal.Change(func() {
-			h.Status, h.RetryAfter, h.Why, h.Answered = status, wait, why, l.Clock.Now()
+		l.Journal.WithLock(func() {
+			h.Status, h.RetryAfter, h.FailureReason, h.AnsweredAt = status, wait, why, l.Clock.Now()
 		})
 		if status > 0 {
-			l.Front.Alive(target)
+			l.Balancer.MarkUp(target)
 		}
 		switch {
 		case why == refused:
-			l.Front.Dead(target)
+			l.Balancer.MarkDown(target)
 			pause(ctx, 0.01)
 		case why != "" && topic.Repeat == scenario.OnceOnly:
 			return // somebody may have it, and it must not run twice
 		case why != "" || status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests:
-			if tries++; tries > l.World.Load.Retries {
+			if tries++; tries > l.World.Load.MaxRetries {
 				return
 			}
 			if again = "1"; why != "" {
 				again = "again"
 			}
 			if wait == 0 {
-				wait = l.World.Load.RetryWait
+				wait = l.World.Load.RetryDelay
 			}
 			pause(ctx, wait)
 		default:
@@ -214,7 +214,7 @@
 )
 
 // post sends one hand-in and tells its answer, or why there is none.
-func (l *Load) post(h *record.HandIn, topic scenario.Topic, to Target, from int, again string) (int, float64, string) {
+func (l *Generator) post(h *record.HandIn, topic scenario.Topic, to Target, from int, again string) (int, float64, string) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -224,13 +224,13 @@
 	req.Header.Set("X-Call-Id", h.ID)
 	req.Header.Set("X-Call-Class", h.Topic)
 	req.Header.Set("X-Caller", h.Tenant)
-	req.Header.Set("X-Budget", strconv.Itoa(int((h.Until-h.Sent)*ms))+"m")
+	req.Header.Set("X-Budget", strconv.Itoa(int((h.ExpiresAt-h.SentAt)*ms))+"m")
 	req.Header.Set("X-Addressing", "dest="+strconv.Itoa(h.Dest))
 	if h.Key != "" {
 		req.Header.SetCookie("about", h.Key)
 	}
 	if topic.Repeat == scenario.Collapsible {
-		req.Header.Set("Idempotency-Key", fmt.Sprintf("m%d", h.Origin))
+		req.Header.Set("Idempotency-Key", fmt.Sprintf("m%d", h.PlanIndex))
 	}
 	if again != "" {
 		req.Header.Set("X-Again", again)
@@ -263,7 +263,7 @@
 }
 
 // client is the connections on a way: as many as have a request open, and those that idle.
-func (l *Load) client(w way) *fasthttp.HostClient {
+func (l *Generator) client(w way) *fasthttp.HostClient {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	c := l.clients[w]
@@ -276,12 +276,12 @@
 }
 
 // Lateness tells by how much the generator was behind.
-func (l *Load) Lateness() Lateness {
+func (l *Generator) Lateness() Lateness {
 	if l.late == nil {
 		return Lateness{}
 	}
 	at := func(q float64) float64 { return float64(l.late.ValueAtQuantile(q)) / 1e6 }
-	return Lateness{P50: at(50), P99: at(99), Most: float64(l.late.Max()) / 1e6}
+	return Lateness{P50: at(50), P99: at(99), Max: float64(l.late.Max()) / 1e6}
 }
 
 func pause(ctx context.Context, s float64) {
--- a/lab/loop/loop.go
+++ b/lab/loop/loop.go
@@ -22,9 +22,9 @@
 // found counts the networks that this process looked at: two runs of it never get the same.
 var found atomic.Int64
 
-// Find returns a network that no other run holds, and what gives it back. A listener of its own holds it: a run's agents are
+// AcquireNetwork returns a network that no other run holds, and what gives it back. A listener of its own holds it: a run's agents are
 // down at times, and another process that looked then would take the same addresses.
-func Find() (Network, func(), error) {
+func AcquireNetwork() (Network, func(), error) {
 	for range tries {
 		n := Network(firstNetwork + (os.Getpid()*31+int(found.Add(1)))%networks)
 		ln, err := net.Listen("tcp", n.held())
@@ -38,20 +38,20 @@
 // held is the address that holds the network for a run.
 func (n Network) held() string { return fmt.Sprintf("127.%d.255.254:8499", n) }
 
-// Dispatcher is the address of a dispatcher, counted from 0.
-func (n Network) Dispatcher(i int) string { return fmt.Sprintf("127.%d.0.%d:8081", n, i+1) }
+// DispatcherAddr is the address of a dispatcher, counted from 0.
+func (n Network) DispatcherAddr(i int) string { return fmt.Sprintf("127.%d.0.%d:8081", n, i+1) }
 
-// Agent is the address of a dispatcher's agent.
-func (n Network) Agent(i int) string { return fmt.Sprintf("127.%d.1.%d:8500", n, i+1) }
+// AgentAddr is the address of a dispatcher's agent.
+func (n Network) AgentAddr(i int) string { return fmt.Sprintf("127.%d.1.%d:8500", n, i+1) }
 
-// Moved is where a dispatcher's agent is found once it has moved.
-func (n Network) Moved(i int) string { return fmt.Sprintf("127.%d.1.%d:8500", n, i+101) }
+// MovedAgentAddr is where a dispatcher's agent is found once it has moved.
+func (n Network) MovedAgentAddr(i int) string { return fmt.Sprintf("127.%d.1.%d:8500", n, i+101) }
 
-// Proxy is the address of what stands between clients and a dispatcher.
-func (n Network) Proxy(i int) string { return fmt.Sprintf("127.%d.1.%d:8081", n, i+201) }
+// ProxyAddr is the address of what stands between clients and a dispatcher.
+func (n Network) ProxyAddr(i int) string { return fmt.Sprintf("127.%d.1.%d:8081", n, i+201) }
 
-// Endpoint is the address of a listener of endpoints.
-func (n Network) Endpoint(listener int) string {
+// EndpointAddr is the address of a listener of endpoints.
+func (n Network) EndpointAddr(listener int) string {
 	const row = 250
 	return fmt.Sprintf("127.%d.%d.%d:9000", n, 2+listener/row, 1+listener%row)
 }
@@ -59,8 +59,8 @@
 // Clock tells the seconds since a run began. Before that it stands at -1.
 type Clock struct{ start atomic.Pointer[time.Time] }
 
-// Begin sets the clock going.
-func (c *Clock) Begin() {
+// Start sets the clock going.
+func (c *Clock) Start() {
 	now := time.Now()
 	c.start.Store(&now)
 }
--- a/lab/modelcheck/plan.go
+++ b/lab/modelcheck/plan.go
@@ -11,11 +11,11 @@
 
 // Times of a plan, in seconds.
 const (
-	TTL      = 9.0 // of each message
-	Window   = 3.0 // in which an endpoint knows a repeat, from its first byte on
-	LifeTime = 1.2 // of a process that is killed by time
-	DownTime = 0.2 // between a process and the next
-	slack    = 0.05
+	TTL             = 9.0 // of each message
+	DedupWindow     = 3.0 // in which an endpoint knows a repeat, from its first byte on
+	DefaultLifetime = 1.2 // of a process that is killed by time
+	Downtime        = 0.2 // between a process and the next
+	slack           = 0.05
 )
 
 // Attempt is what becomes of an attempt to call an endpoint.
@@ -23,19 +23,19 @@
 
 // What can become of an attempt.
 const (
-	Refuse     Attempt = iota // no connection
-	ComeUp                    // the connection comes up late, then the call is answered
-	GiveBack                  // the destination tells a wait while the connection comes up
-	Busy                      // turned away: it never runs
-	Fail                      // answered with an error: it may have run
-	Hang                      // it runs and is not answered
-	Reset                     // it runs, and the connection breaks
-	CutShort                  // the connection breaks before the call's last byte
-	KillFirst                 // the process is killed before the call's last byte
-	KillWhole                 // the process is killed as the call's last byte is there
-	FirstDone                 // of a call with two the first is delivered and the second turned away; alone: delivered
-	LastFailed                // the first is turned away and the second may have run; alone: an error
-	Serve                     // answered as delivered
+	RefuseConnection  Attempt = iota // no connection
+	ConnectLate                      // the connection comes up late, then the call is answered
+	ToldWaitOnConnect                // the destination tells a wait while the connection comes up
+	RejectBusy                       // turned away: it never runs
+	AnswerError                      // answered with an error: it may have run
+	Hang                             // it runs and is not answered
+	ResetUnanswered                  // it runs, and the connection breaks
+	TruncateRequest                  // the connection breaks before the call's last byte
+	KillMidRequest                   // the process is killed before the call's last byte
+	KillAfterRequest                 // the process is killed as the call's last byte is there
+	DeliverFirstOnly                 // of a call with two the first is delivered and the second turned away; alone: delivered
+	FailLastOnly                     // the first is turned away and the second may have run; alone: an error
+	Deliver                          // answered as delivered
 	attempts
 )
 
@@ -45,65 +45,65 @@
 		"kill at last byte", "first done", "last failed", "serve"}[a]
 }
 
-// List is what a process is told of the endpoints.
-type List int
+// ListMode is what a process is told of the endpoints.
+type ListMode int
 
 // What it can be told.
 const (
-	Whole   List = iota // all of them, at once
-	Late                // after 0.8 s
-	Silent              // never: it has the list known at its start
-	Lacking             // without the first endpoint
-	Moved               // the first endpoint is in the other zone
+	ListComplete     ListMode = iota // all of them, at once
+	ListDelayed                      // after 0.8 s
+	ListWithheld                     // never: it has the list known at its start
+	ListWithoutFirst                 // without the first endpoint
+	ListFirstMoved                   // the first endpoint is in the other zone
 	lists
 )
 
 // Process is one process of a series.
 type Process struct {
-	Attempts []Attempt // of its attempts, in their order; the last goes for all that follow
-	List     List
-	KillOp   int     // killed instead of its outside operation of this number, from 1 on; 0: after LifeTime
-	Keep     int     // bytes of a file's write that are there all the same
-	Ends     bool    // told to end after LifeTime, not killed
-	EndOp    int     // told to end at its outside operation of this number, where its loop runs by then, and killed after LifeTime; 0: not
-	DiskFrom float64 // its folder cannot be written to from then on, seconds after its start,
-	DiskFor  float64 // for so long
-	DiskPart int     // bytes of the first write that fails that are there all the same
-	Unheard  bool    // its notices get no answer
-	Lives    float64 // instead of LifeTime; 0 for that
+	Attempts          []Attempt // of its attempts, in their order; the last goes for all that follow
+	List              ListMode
+	KillAtOp          int     // killed instead of its outside operation of this number, from 1 on; 0: after LifeTime
+	TornWriteBytes    int     // bytes of a file's write that are there all the same
+	GracefulStop      bool    // told to end after LifeTime, not killed
+	StopAtOp          int     // told to end at its outside operation of this number, where its loop runs by then, and killed after LifeTime; 0: not
+	DiskFaultAt       float64 // its folder cannot be written to from then on, seconds after its start,
+	DiskFaultDuration float64 // for so long
+	FailedWriteBytes  int     // bytes of the first write that fails that are there all the same
+	NoticesUnanswered bool    // its notices get no answer
+	Lifetime          float64 // instead of LifeTime; 0 for that
 }
 
 // Plan is a series of processes. The last one is followed by one to which nothing happens.
 type Plan struct {
-	Topic     string // of all messages: once, zoned, known or free
-	Shared    bool   // messages share calls and have keys of their own; else they have one key
-	Processes []Process
-	MoreAt    float64 // two more messages come so many seconds after the first process's start; 0: none
+	Topic           string // of all messages: once, zoned, known or free
+	SharedCalls     bool   // messages share calls and have keys of their own; else they have one key
+	Processes       []Process
+	ExtraMessagesAt float64 // two more messages come so many seconds after the first process's start; 0: none
 }
 
 func (p Plan) String() string {
 	text := p.Topic
-	if p.Shared {
+	if p.SharedCalls {
 		text += " shared"
 	}
 	for _, x := range p.Processes {
 		text += fmt.Sprintf(" | %v", x.Attempts)
-		if x.List != Whole {
+		if x.List != ListComplete {
 			text += fmt.Sprintf(" list %d", x.List)
 		}
-		if x.KillOp > 0 {
-			text += fmt.Sprintf(" killed at operation %d with %d bytes kept", x.KillOp, x.Keep)
+		if x.KillAtOp > 0 {
+			text += fmt.Sprintf(" killed at operation %d with %d bytes kept", x.KillAtOp, x.TornWriteBytes)
 		}
-		if x.DiskFor > 0 {
-			text += fmt.Sprintf(" disk fails from %.2f for %.2f with %d bytes there", x.DiskFrom, x.DiskFor, x.DiskPart)
+		if x.DiskFaultDuration > 0 {
+			text += fmt.Sprintf(" disk fails from %.2f for %.2f with %d bytes there", x.DiskFaultAt, x.DiskFaultDuration, x.FailedWriteBytes)
 		}
-		if x.EndOp > 0 {
-			text += fmt.Sprintf(" told to end at operation %d", x.EndOp)
+		if x.StopAtOp > 0 {
+			text += fmt.Sprintf(" told to end at operation %d", x.StopAtOp)
 		}
-		if x.Ends {
+		if x.GracefulStop {
 			text += " told to end"
 		}
-		if x.Unheard {
+		if x.NoticesUnanswered {
 			text += " notices unheard"
 		}
 	}
@@ -115,9 +115,9 @@
 
 // The faults.
 const (
-	None        Fault = iota
-	ForgetBegan       // a restart forgets that a call may have run
-	LaterWindow       // a restart counts the window from the last call
-	LoseNotice        // a restart forgets a notice that was not answered, and its message
-	TwoCalls          // each call is sent twice at once
+	NoFault            Fault = iota
+	ForgetMayHaveRun         // a restart forgets that a call may have run
+	WindowFromLastCall       // a restart counts the window from the last call
+	LoseNotice               // a restart forgets a notice that was not answered, and its message
+	DuplicateCalls           // each call is sent twice at once
 )
--- a/lab/modelcheck/process.go
+++ b/lab/modelcheck/process.go
@@ -32,7 +32,7 @@
 func (p *process) operation() bool {
 	p.lock.Lock()
 	p.ops++
-	now, ends := p.ops == p.plan.KillOp, p.ops == p.plan.EndOp && p.runner != nil
+	now, ends := p.ops == p.plan.KillAtOp, p.ops == p.plan.StopAtOp && p.runner != nil
 	p.lock.Unlock()
 	if ends {
 		go p.world.end(p)
@@ -79,8 +79,8 @@
 func (p *process) partOfFailing() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	n := p.plan.DiskPart
-	p.plan.DiskPart = 0
+	n := p.plan.FailedWriteBytes
+	p.plan.FailedWriteBytes = 0
 	return n
 }
 
@@ -122,12 +122,12 @@
 func (f file) WriteAt(b []byte, at int64) (int, error) {
 	was := f.p.alive()
 	if !f.p.operation() {
-		if was && f.p.plan.Keep > 0 {
-			_, _ = f.File.WriteAt(b[:min(f.p.plan.Keep, len(b))], at)
+		if was && f.p.plan.TornWriteBytes > 0 {
+			_, _ = f.File.WriteAt(b[:min(f.p.plan.TornWriteBytes, len(b))], at)
 		}
 		return 0, faulty.ErrCrashed
 	}
-	if since := time.Since(f.p.begun).Seconds(); since >= f.p.plan.DiskFrom && since < f.p.plan.DiskFrom+f.p.plan.DiskFor {
+	if since := time.Since(f.p.begun).Seconds(); since >= f.p.plan.DiskFaultAt && since < f.p.plan.DiskFaultAt+f.p.plan.DiskFaultDuration {
 		n, _ := f.File.WriteAt(b[:min(f.p.partOfFailing(), len(b)-1)], at)
 		return n, &os.PathError{Op: "write", Path: "model", Err: syscall.EIO}
 	}
@@ -144,12 +144,12 @@
 	p.world.judge.attempted()
 	what := p.attempt()
 	switch what {
-	case Refuse:
+	case RefuseConnection:
 		time.Sleep(time.Millisecond)
 		return nil, errRefused
-	case ComeUp:
+	case ConnectLate:
 		time.Sleep(min(700*time.Millisecond, within))
-	case GiveBack:
+	case ToldWaitOnConnect:
 		p.world.tellWait(p, addr)
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -164,7 +164,7 @@
 		return nil, errRefused
 	}
 	w := &wire{Conn: here, p: p, what: what}
-	if p.world.fault == TwoCalls {
+	if p.world.fault == DuplicateCalls {
 		w.second = p.again(addr)
 	}
 	go p.world.serve(p, addr, there, what, w)
@@ -207,11 +207,11 @@
 	}
 	half := b[:len(b)/2]
 	switch w.what {
-	case CutShort:
+	case TruncateRequest:
 		n, _ := w.Conn.Write(half)
 		_ = w.Conn.Close()
 		return n, errReset
-	case KillFirst:
+	case KillMidRequest:
 		_, _ = w.Conn.Write(half)
 		w.p.kill()
 		return 0, errReset
@@ -252,8 +252,8 @@
 	if !p.operation() {
 		return
 	}
-	p.world.judge.noticed(p.world.now(), n.ID, n.Outcome, !p.plan.Unheard)
-	if p.plan.Unheard {
+	p.world.judge.noticed(p.world.now(), n.ID, n.Outcome, !p.plan.NoticesUnanswered)
+	if p.plan.NoticesUnanswered {
 		return
 	}
 	go func() {
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -43,8 +43,8 @@
 
 var topics = map[string]decide.Topic{
 	"once":  {Repeat: decide.OnceOnly, DedupScope: "all", Ordered: true},
-	"zoned": {Repeat: decide.Collapsible, DedupWindow: Window, DedupScope: "zone"},
-	"known": {Repeat: decide.Collapsible, DedupWindow: Window, DedupScope: "all", Ordered: true},
+	"zoned": {Repeat: decide.Collapsible, DedupWindow: DedupWindow, DedupScope: "zone"},
+	"known": {Repeat: decide.Collapsible, DedupWindow: DedupWindow, DedupScope: "all", Ordered: true},
 	"free":  {Repeat: decide.Repeatable, DedupScope: "all"},
 }
 
@@ -55,15 +55,15 @@
 func Run(plan Plan, fault Fault) (found []string, operations []int) {
 	topic := topics[plan.Topic]
 	w := &world{begun: time.Now(), folder: faulty.New(), fault: fault, counts: &invariant.Counters{Log: zerolog.Nop()},
-		judge: &judge{topic: topicRules{once: topic.Repeat == decide.OnceOnly, zone: topic.DedupScope == "zone", ordered: topic.Ordered && !plan.Shared}}}
+		judge: &judge{topic: topicRules{once: topic.Repeat == decide.OnceOnly, zone: topic.DedupScope == "zone", ordered: topic.Ordered && !plan.SharedCalls}}}
 	if topic.Repeat == decide.Collapsible {
 		w.judge.topic.window = topic.DedupWindow
 	}
-	series := append(append([]Process{}, plan.Processes...), Process{Attempts: []Attempt{Serve}})
+	series := append(append([]Process{}, plan.Processes...), Process{Attempts: []Attempt{Deliver}})
 	for i, p := range series {
 		w.folder = w.folder.Restart()
 		operations = append(operations, w.live(p, plan, i == 0, i == len(series)-1))
-		time.Sleep(seconds(DownTime))
+		time.Sleep(seconds(Downtime))
 	}
 	found = w.judge.close()
 	for _, name := range invariant.All {
@@ -81,26 +81,26 @@
 // live lets one process live, and tells how many operations it did.
 func (w *world) live(plan Process, all Plan, first, last bool) int {
 	p := &process{plan: plan, world: w, begun: time.Now(), stop: make(chan struct{}), over: make(chan struct{})}
-	lives := plan.Lives
+	lives := plan.Lifetime
 	if lives == 0 {
-		lives = LifeTime
+		lives = DefaultLifetime
 	}
-	if w.start(p, all.Shared) {
+	if w.start(p, all.SharedCalls) {
 		w.judge.up(w.now())
 		go w.tellList(p)
 		if first {
 			w.handIn(p, all, "m1")
 			w.handIn(p, all, "m2")
 		}
-		if first && all.MoreAt > 0 {
-			time.Sleep(seconds(all.MoreAt))
+		if first && all.ExtraMessagesAt > 0 {
+			time.Sleep(seconds(all.ExtraMessagesAt))
 			w.handIn(p, all, "m3")
 			w.handIn(p, all, "m4")
 		}
 		switch {
 		case last:
 			w.settle()
-		case plan.Ends:
+		case plan.GracefulStop:
 			w.await(p, lives)
 			w.end(p)
 		default:
@@ -146,7 +146,7 @@
 // start opens the folder and lets the loop run. It tells whether the process came so far.
 func (w *world) start(p *process, shared bool) bool {
 	known := directory.New()
-	known.Replace(w.list(Whole))
+	known.Replace(w.list(ListComplete))
 	book, owed, _, err := ledger.Open(folder{w.folder, p}, ledger.Options{Limit: folderFor})
 	if err != nil {
 		p.kill()
@@ -185,9 +185,9 @@
 	var list []ledger.Pending
 	for _, o := range owed {
 		switch {
-		case w.fault == ForgetBegan:
+		case w.fault == ForgetMayHaveRun:
 			o.Message.RanAt = 0
-		case w.fault == LaterWindow && o.Message.RanAt > 0 && o.LastCall.StartedAt > 0:
+		case w.fault == WindowFromLastCall && o.Message.RanAt > 0 && o.LastCall.StartedAt > 0:
 			o.Message.RanAt = o.LastCall.StartedAt
 		case w.fault == LoseNotice && o.Notice != nil:
 			continue
@@ -198,16 +198,16 @@
 }
 
 // list is the endpoints as a process is told of them, and where they are from then on.
-func (w *world) list(what List) []directory.Endpoint {
+func (w *world) list(what ListMode) []directory.Endpoint {
 	first := directory.Endpoint{ID: "e1", Zone: "a", Kind: kind, Dest: dest, Stage: directory.Ready, Addr: "e1"}
 	second := directory.Endpoint{ID: "e2", Zone: "b", Kind: kind, Dest: dest, Stage: directory.Ready, Addr: "e2"}
-	if what == Moved {
+	if what == ListFirstMoved {
 		first.Zone = "b"
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.zones = map[string]string{"e1": first.Zone, "e2": second.Zone}
-	if what == Lacking {
+	if what == ListWithoutFirst {
 		return []directory.Endpoint{second}
 	}
 	return []directory.Endpoint{first, second}
@@ -218,9 +218,9 @@
 	const soon, late = 0.02, 0.8
 	wait := soon
 	switch p.plan.List {
-	case Silent:
+	case ListWithheld:
 		return
-	case Late:
+	case ListDelayed:
 		wait = late
 	}
 	r := p.runner
@@ -241,7 +241,7 @@
 func (w *world) handIn(p *process, plan Plan, id string) {
 	m := &message.Message{ExpiresAt: w.now() + TTL, Body: []byte("body"), IdempotencyKey: "mark-" + id}
 	m.ID, m.Topic, m.Dest, m.Key = id, plan.Topic, dest, "key"
-	if plan.Shared {
+	if plan.SharedCalls {
 		m.Key = "key of " + id
 	}
 	w.judge.handed(id, m.ExpiresAt)
@@ -301,13 +301,13 @@
 }
 
 // statuses are the answers to calls by what becomes of them; the others get none.
-var statuses = map[Attempt]int{Busy: http.StatusServiceUnavailable, Fail: http.StatusInternalServerError, ComeUp: http.StatusOK,
-	GiveBack: http.StatusOK, FirstDone: http.StatusOK, LastFailed: http.StatusInternalServerError, Serve: http.StatusOK}
+var statuses = map[Attempt]int{RejectBusy: http.StatusServiceUnavailable, AnswerError: http.StatusInternalServerError, ConnectLate: http.StatusOK,
+	ToldWaitOnConnect: http.StatusOK, DeliverFirstOnly: http.StatusOK, FailLastOnly: http.StatusInternalServerError, Deliver: http.StatusOK}
 
 // respond does with a whole call as planned, and tells whether the connection goes on.
 func (w *world) respond(p *process, conn net.Conn, ids []string, calls map[string]*call, what Attempt) bool {
 	status := statuses[what]
-	if what == KillWhole {
+	if what == KillAfterRequest {
 		p.kill()
 	}
 	if what == Hang {
@@ -338,7 +338,7 @@
 	for i, id := range ids {
 		status := statuses[what]
 		switch {
-		case what == FirstDone && i > 0, what == LastFailed && i < len(ids)-1:
+		case what == DeliverFirstOnly && i > 0, what == FailLastOnly && i < len(ids)-1:
 			status = http.StatusServiceUnavailable
 		}
 		w.judge.ended(w.now(), id, calls[id], status)
--- a/lab/partner/conn.go
+++ b/lab/partner/conn.go
@@ -79,7 +79,7 @@
 			return // it never came whole
 		}
 		x := c.inbound(req)
-		x.record.First, x.record.Last, x.record.Reused = first, clock.Now(), n > 0
+		x.record.FirstByteAt, x.record.LastByteAt, x.record.Reused = first, clock.Now(), n > 0
 		select {
 		case c.calls <- x:
 		case <-c.shut:
@@ -90,7 +90,7 @@
 
 // inbound reads what a call is about.
 func (c *conn) inbound(req *fasthttp.Request) *inbound {
-	x := &inbound{record: &record.Call{Conn: c.number}, dest: -1}
+	x := &inbound{record: &record.Call{ConnID: c.number}, dest: -1}
 	switch path := string(req.URI().Path()); {
 	case path == "/hook":
 		x.record.IDs = []string{string(req.Header.Peek("X-Call-Id"))}
@@ -104,7 +104,7 @@
 		x.odd = true
 	}
 	if len(x.record.IDs) > 0 {
-		x.dest = DestOf(x.record.IDs[0])
+		x.dest = DestFromID(x.record.IDs[0])
 	}
 	if only := c.door.only; only != nil {
 		x.dest = only.Dest
@@ -115,8 +115,8 @@
 	return x
 }
 
-// DestOf reads the destination out of an id that the laboratory made, -1 where there is none.
-func DestOf(id string) int {
+// DestFromID reads the destination out of an id that the laboratory made, -1 where there is none.
+func DestFromID(id string) int {
 	text, _, _ := strings.Cut(id, "-")
 	dest, err := strconv.Atoi(text)
 	if err != nil {
@@ -128,7 +128,7 @@
 // serve answers calls, one after another, until the connection ends.
 func (c *conn) serve() {
 	defer c.end()
-	idle := time.NewTimer(seconds(c.door.kind().Idle))
+	idle := time.NewTimer(seconds(c.door.kind().IdleTimeout))
 	for {
 		var x *inbound
 		select {
@@ -147,7 +147,7 @@
 		if !c.answer(x) {
 			return
 		}
-		idle.Reset(seconds(c.door.kind().Idle))
+		idle.Reset(seconds(c.door.kind().IdleTimeout))
 	}
 }
 
@@ -155,9 +155,9 @@
 func (c *conn) answer(x *inbound) bool {
 	all, r := c.door.all, x.record
 	if x.odd {
-		r.Status, r.End, r.Why = fasthttp.StatusBadRequest, r.Last, "unreadable"
-		all.journal.Call(r)
-		return c.write(r, behaviour.Fate{Status: r.Status}, nil)
+		r.Status, r.EndedAt, r.Cause = fasthttp.StatusBadRequest, r.LastByteAt, "unreadable"
+		all.journal.AddCall(r)
+		return c.write(r, behaviour.Outcome{Status: r.Status}, nil)
 	}
 	s, e := all.systems[x.dest], c.door.behind[x.dest]
 	s.Lock()
@@ -165,63 +165,63 @@
 	for _, id := range r.IDs {
 		s.calls[id]++
 	}
-	var fate behaviour.Fate
+	var fate behaviour.Outcome
 	if c.beyond {
-		fate = behaviour.Fate{Status: fasthttp.StatusServiceUnavailable, Why: "too many connections",
-			States: make([]record.State, len(r.IDs)), Ran: make([]bool, len(r.IDs))}
+		fate = behaviour.Outcome{Status: fasthttp.StatusServiceUnavailable, Cause: "too many connections",
+			States: make([]record.PushState, len(r.IDs)), Ran: make([]bool, len(r.IDs))}
 		for i := range fate.States {
-			fate.States[i] = record.Busy
+			fate.States[i] = record.Throttled
 		}
 	} else {
-		fate = s.Arrive(r.Last, e.Index, behaviour.Call{IDs: r.IDs, Reused: r.Reused, Before: before})
+		fate = s.HandleCall(r.LastByteAt, e.Index, behaviour.Call{IDs: r.IDs, Reused: r.Reused, PreviousCalls: before})
 	}
 	s.Unlock()
-	r.Ran, r.Why, r.States = fate.Ran, fate.Why, make([]record.State, len(r.IDs))
-	all.journal.Call(r)
+	r.Ran, r.Cause, r.States = fate.Ran, fate.Cause, make([]record.PushState, len(r.IDs))
+	all.journal.AddCall(r)
 	if !r.Reused {
-		fate.After += c.door.kind().Handshake
+		fate.Delay += c.door.kind().HandshakeDelay
 	}
-	if fate.Way == behaviour.Silent {
+	if fate.End == behaviour.NoAnswer {
 		c.rest(r, nil)
 		return false
 	}
-	if fate.Way == behaviour.Late {
-		fate.After = max(fate.After, all.journal.Until(r.IDs)+lateBy-all.clock.Now())
+	if fate.End == behaviour.AnsweredLate {
+		fate.Delay = max(fate.Delay, all.journal.EarliestExpiry(r.IDs)+lateBy-all.clock.Now())
 	}
-	if fate.After > instant {
-		timer := time.NewTimer(seconds(fate.After))
+	if fate.Delay > instant {
+		timer := time.NewTimer(seconds(fate.Delay))
 		defer timer.Stop()
 		if !c.rest(r, timer.C) {
 			return false
 		}
 	}
-	switch fate.Way {
-	case behaviour.Break:
-		all.journal.Change(func() { r.End = all.clock.Now() })
+	switch fate.End {
+	case behaviour.ConnectionReset:
+		all.journal.WithLock(func() { r.EndedAt = all.clock.Now() })
 		c.reset()
 		return false
-	case behaviour.CutOff, behaviour.Spoilt:
-		all.journal.Change(func() {
-			r.End = all.clock.Now()
+	case behaviour.AnswerTruncated, behaviour.AnswerCorrupted:
+		all.journal.WithLock(func() {
+			r.EndedAt = all.clock.Now()
 			for i := range r.States {
-				r.States[i] = record.Odd
+				r.States[i] = record.Unreadable
 			}
 		})
 		text := "HTTP/1.1 2\x00\x1f\xff noise that says nothing\r\n"
-		if fate.Way == behaviour.CutOff {
+		if fate.End == behaviour.AnswerTruncated {
 			text = "HTTP/1.1 500 Broken\r\nContent-Length: 400\r\n\r\nhalf of"
 		}
 		_, err := c.Write([]byte(text))
-		if err == nil && fate.Way == behaviour.Spoilt {
+		if err == nil && fate.End == behaviour.AnswerCorrupted {
 			<-c.either()
 		}
 		return false
-	case behaviour.Late:
-		fate.States = slices.Repeat([]record.State{record.Done}, len(r.IDs)) // as it reads
+	case behaviour.AnsweredLate:
+		fate.States = slices.Repeat([]record.PushState{record.Delivered}, len(r.IDs)) // as it reads
 		return c.write(r, fate, func() {})
 	}
-	return c.write(r, fate, func() { r.Status, r.Wait, r.States = fate.Status, fate.Wait, fate.States }) &&
-		!c.beyond && fate.Way != behaviour.Close
+	return c.write(r, fate, func() { r.Status, r.ToldWait, r.States = fate.Status, fate.ToldWait, fate.States }) &&
+		!c.beyond && fate.End != behaviour.ClosedAfterAnswer
 }
 
 // rest waits for the moment of an answer. It tells whether the connection still stands, and else notes its end.
@@ -237,12 +237,12 @@
 	case <-c.gone:
 	case <-c.shut:
 	}
-	all.journal.Change(func() {
-		r.End = all.clock.Now()
+	all.journal.WithLock(func() {
+		r.EndedAt = all.clock.Now()
 		select {
 		case <-c.shut:
 		default:
-			r.Left = true
+			r.CallerClosed = true
 		}
 	})
 	return false
@@ -262,22 +262,22 @@
 }
 
 // write writes an answer; note is carried out as it goes out.
-func (c *conn) write(r *record.Call, fate behaviour.Fate, note func()) bool {
+func (c *conn) write(r *record.Call, fate behaviour.Outcome, note func()) bool {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	resp.Header.SetNoDefaultContentType(true)
 	resp.SetStatusCode(fate.Status)
-	if fate.Wait > 0 {
-		resp.Header.Set("Retry-After", strconv.FormatFloat(fate.Wait, 'f', 3, 64))
+	if fate.ToldWait > 0 {
+		resp.Header.Set("Retry-After", strconv.FormatFloat(fate.ToldWait, 'f', 3, 64))
 	}
-	if fate.Report {
-		resp.Header.Set("X-Load-Report", "TEXT x0="+strconv.FormatFloat(fate.Share, 'f', 4, 64)+
-			", x1="+strconv.FormatFloat(fate.Limit, 'f', 3, 64))
+	if fate.HasLoadReport {
+		resp.Header.Set("X-Load-Report", "TEXT x0="+strconv.FormatFloat(fate.LoadShare, 'f', 4, 64)+
+			", x1="+strconv.FormatFloat(fate.LoadLimit, 'f', 3, 64))
 	}
 	if len(r.IDs) > 1 && fate.Status == fasthttp.StatusOK {
 		type line struct {
-			ID    string       `json:"id"`
-			State record.State `json:"state"`
+			ID    string           `json:"id"`
+			State record.PushState `json:"state"`
 		}
 		lines := make([]line, len(r.IDs))
 		for i, id := range r.IDs {
@@ -291,35 +291,35 @@
 	}
 	text := c.shaped(resp)
 	if note != nil {
-		c.door.all.journal.Change(func() {
-			r.End = c.door.all.clock.Now()
-			if note(); text.Cut > 0 {
+		c.door.all.journal.WithLock(func() {
+			r.EndedAt = c.door.all.clock.Now()
+			if note(); text.TruncateAt > 0 {
 				r.States = cut(r, fate, text)
 				if !waitStands(text) {
-					r.Wait = 0
+					r.ToldWait = 0
 				}
 			}
 		})
 	}
-	if text.Cut == 0 {
-		_, err := c.Write(text.Text)
-		return err == nil && !text.Close
+	if text.TruncateAt == 0 {
+		_, err := c.Write(text.Bytes)
+		return err == nil && !text.CloseDelimited
 	}
-	_, _ = c.Write(text.Text[:text.Cut])
-	if text.Reset {
+	_, _ = c.Write(text.Bytes[:text.TruncateAt])
+	if text.ResetAfterTruncation {
 		c.reset()
 	}
 	return false
 }
 
 // shaped is an answer's bytes.
-func (c *conn) shaped(resp *fasthttp.Response) Shaped {
+func (c *conn) shaped(resp *fasthttp.Response) EncodedResponse {
 	if c.door.all.shape == nil {
 		text := &bytes.Buffer{}
 		out := bufio.NewWriter(text)
 		_ = resp.Write(out) // a buffer takes all
 		_ = out.Flush()
-		return Shaped{Text: text.Bytes()}
+		return EncodedResponse{Bytes: text.Bytes()}
 	}
 	var head bytes.Buffer
 	for _, line := range strings.SplitAfter(resp.Header.String(), "\r\n") {
@@ -331,19 +331,19 @@
 }
 
 // waitStands tells that the line with a wait has gone out whole before a cut. A reset may take with it what has gone out.
-func waitStands(text Shaped) bool {
-	out := text.Text[:text.Cut]
+func waitStands(text EncodedResponse) bool {
+	out := text.Bytes[:text.TruncateAt]
 	_, behind, ok := bytes.Cut(out, []byte("Retry-After: "))
-	return ok && !text.Reset && bytes.Contains(behind, []byte("\r\n"))
+	return ok && !text.ResetAfterTruncation && bytes.Contains(behind, []byte("\r\n"))
 }
 
 // cut is what became of the notifications of a call whose answer was cut: one alone is delivered once the first line says
 // so, and of several nothing is told.
-func cut(r *record.Call, fate behaviour.Fate, text Shaped) []record.State {
-	if len(r.IDs) == 1 && fate.Status == fasthttp.StatusOK && text.Cut >= text.First {
+func cut(r *record.Call, fate behaviour.Outcome, text EncodedResponse) []record.PushState {
+	if len(r.IDs) == 1 && fate.Status == fasthttp.StatusOK && text.TruncateAt >= text.StatusLineEnd {
 		return fate.States
 	}
-	return slices.Repeat([]record.State{record.Odd}, len(r.IDs))
+	return slices.Repeat([]record.PushState{record.Unreadable}, len(r.IDs))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/lab/partner/partner.go
+++ b/lab/partner/partner.go
@@ -29,20 +29,20 @@
 	done    sync.WaitGroup
 	lock    sync.Mutex
 	conns   int
-	shape   Shape
+	shape   ResponseEncoder
 }
 
-// Shape gives an answer its form on the wire, from its head, without the empty line behind it and without what says where
+// ResponseEncoder gives an answer its form on the wire, from its head, without the empty line behind it and without what says where
 // the answer ends, and its body.
-type Shape func(head, body []byte) Shaped
-
-// Shaped is an answer's bytes.
-type Shaped struct {
-	Text  []byte
-	First int  // bytes up to the end of its status line
-	Close bool // the connection's end is the answer's
-	Cut   int  // the connection ends after so many bytes; 0: it is whole
-	Reset bool // and how
+type ResponseEncoder func(head, body []byte) EncodedResponse
+
+// EncodedResponse is an answer's bytes.
+type EncodedResponse struct {
+	Bytes                []byte
+	StatusLineEnd        int  // bytes up to the end of its status line
+	CloseDelimited       bool // the connection's end is the answer's
+	TruncateAt           int  // the connection ends after so many bytes; 0: it is whole
+	ResetAfterTruncation bool // and how
 }
 
 // system is a destination's system: one behaviour behind all its endpoints.
@@ -66,7 +66,7 @@
 }
 
 // Start opens the endpoints' addresses. Answers are shaped, or go with a length where shape is nil.
-func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network, shape Shape) (*Partners, error) {
+func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network, shape ResponseEncoder) (*Partners, error) {
 	p := &Partners{world: w, journal: j, clock: clock, network: network, stop: make(chan struct{}), shape: shape}
 	byListener := map[int]*door{}
 	for _, spec := range w.Partners {
@@ -74,13 +74,13 @@
 		for _, e := range spec.Endpoints {
 			d := byListener[e.Listener]
 			if d == nil {
-				d = &door{all: p, addr: network.Endpoint(e.Listener), listener: e.Listener,
+				d = &door{all: p, addr: network.EndpointAddr(e.Listener), listener: e.Listener,
 					behind: map[int]scenario.Endpoint{}, open: map[*conn]bool{}}
 				byListener[e.Listener] = d
 				p.doors = append(p.doors, d)
 			}
 			d.behind[e.Dest] = e
-			if d.only = nil; !w.Shared(e) {
+			if d.only = nil; !w.SharesListener(e) {
 				d.only = &e
 			}
 		}
@@ -98,7 +98,7 @@
 }
 
 // Addr is where an endpoint is reached.
-func (p *Partners) Addr(e scenario.Endpoint) string { return p.network.Endpoint(e.Listener) }
+func (p *Partners) Addr(e scenario.Endpoint) string { return p.network.EndpointAddr(e.Listener) }
 
 // Close ends all connections and listeners.
 func (p *Partners) Close() {
@@ -114,17 +114,17 @@
 	var moments []float64
 	const after = 1e-4
 	for _, f := range p.world.Faults {
-		if f.Kind == scenario.Refuse {
+		if f.Kind == scenario.RefuseConnections {
 			moments = append(moments, f.At+after, f.End()+after)
 		}
 	}
 	for _, s := range p.systems {
 		for _, e := range s.spec.Endpoints {
-			if e.Born > 0 {
-				moments = append(moments, e.Born+after)
+			if e.AddedAt > 0 {
+				moments = append(moments, e.AddedAt+after)
 			}
-			if e.Goes > 0 {
-				moments = append(moments, e.Goes+1+after)
+			if e.RemovedAt > 0 {
+				moments = append(moments, e.RemovedAt+1+after)
 			}
 		}
 	}
@@ -159,7 +159,7 @@
 	s := d.all.systems[d.only.Dest]
 	s.Lock()
 	defer s.Unlock()
-	return s.Takes(now, d.only.Index)
+	return s.AcceptsConnections(now, d.only.Index)
 }
 
 // listen opens the door, unless it is open.
@@ -214,7 +214,7 @@
 		stands := d.ln == ln
 		if stands {
 			d.open[conn] = true
-			conn.beyond = d.only != nil && d.kind().Connections > 0 && len(d.open) > d.kind().Connections
+			conn.beyond = d.only != nil && d.kind().MaxConnections > 0 && len(d.open) > d.kind().MaxConnections
 		}
 		d.lock.Unlock()
 		if !stands {
--- a/lab/planted/planted.go
+++ b/lab/planted/planted.go
@@ -107,7 +107,7 @@
 		var l platform.List
 		if json.NewDecoder(resp.Body).Decode(&l) == nil {
 			version = l.Version
-			if d.breaks != rules.Drains { // that one hears of drains and goes on
+			if d.breaks != rules.Draining { // that one hears of drains and goes on
 				d.take(l)
 			}
 		}
@@ -166,14 +166,14 @@
 			return
 		}
 		never := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == -1
-		if m.mayHaveRun = m.mayHaveRun || !never; m.mayHaveRun && d.once[m.topic] && d.breaks != rules.Twice {
+		if m.mayHaveRun = m.mayHaveRun || !never; m.mayHaveRun && d.once[m.topic] && d.breaks != rules.Duplicate {
 			break
 		}
-		if d.breaks == rules.Pushed {
+		if d.breaks == rules.Overload {
 			d.hammer(m)
 		}
 		d.lock.Lock()
-		if d.waits[m.dest] = time.Now().Add(max(told, stop)); d.breaks == rules.Waits {
+		if d.waits[m.dest] = time.Now().Add(max(told, stop)); d.breaks == rules.ToldWait {
 			d.waits[m.dest] = time.Now().Add(2 * spacing)
 		}
 		d.lock.Unlock()
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -13,70 +13,70 @@
 
 // HandIn is one try of a client to hand in a notification. Each has an id of its own.
 type HandIn struct {
-	ID         string  `json:"id"`
-	Origin     int     `json:"origin"` // the notification of the plan that it stands for
-	Try        int     `json:"try"`    // of it, from 0
-	Topic      string  `json:"topic"`
-	Tenant     string  `json:"tenant"`
-	Dest       int     `json:"dest"`
-	Key        string  `json:"key,omitempty"`
-	Dispatcher int     `json:"dispatcher"`
-	Planned    float64 `json:"planned"` // when the notification was to be handed in
-	Sent       float64 `json:"sent"`
-	Until      float64 `json:"until"` // when its TTL ends
-	Answered   float64 `json:"answered,omitempty"`
-	Status     int     `json:"status,omitempty"` // 0: no answer
-	RetryAfter float64 `json:"retry_after,omitempty"`
-	Why        string  `json:"why,omitempty"` // without an answer: refused, closed, or late
+	ID            string  `json:"id"`
+	PlanIndex     int     `json:"origin"` // the notification of the plan that it stands for
+	Try           int     `json:"try"`    // of it, from 0
+	Topic         string  `json:"topic"`
+	Tenant        string  `json:"tenant"`
+	Dest          int     `json:"dest"`
+	Key           string  `json:"key,omitempty"`
+	Dispatcher    int     `json:"dispatcher"`
+	PlannedAt     float64 `json:"planned"` // when the notification was to be handed in
+	SentAt        float64 `json:"sent"`
+	ExpiresAt     float64 `json:"until"` // when its TTL ends
+	AnsweredAt    float64 `json:"answered,omitempty"`
+	Status        int     `json:"status,omitempty"` // 0: no answer
+	RetryAfter    float64 `json:"retry_after,omitempty"`
+	FailureReason string  `json:"why,omitempty"` // without an answer: refused, closed, or late
 }
 
-// Taken tells whether a dispatcher took it on.
-func (h *HandIn) Taken() bool { return h.Status == 200 || h.Status == 202 }
+// Accepted tells whether a dispatcher took it on.
+func (h *HandIn) Accepted() bool { return h.Status == 200 || h.Status == 202 }
 
 // Refused tells whether its client was told that it has no effect and may come again.
 func (h *HandIn) Refused() bool { return h.Status == 503 || h.Status == 429 }
 
-// State is what became of one notification in a call.
-type State string
+// PushState is what became of one notification in a call.
+type PushState string
 
 // The states.
 const (
-	Done   State = "done"   // answered as delivered
-	Failed State = "failed" // answered as failed
-	Busy   State = "busy"   // turned away
-	Open   State = ""       // no answer
-	Odd    State = "odd"    // an answer that cannot be read
+	Delivered  PushState = "done"   // answered as delivered
+	Failed     PushState = "failed" // answered as failed
+	Throttled  PushState = "busy"   // turned away
+	Unanswered PushState = ""       // no answer
+	Unreadable PushState = "odd"    // an answer that cannot be read
 )
 
 // Call is one call that reached an endpoint.
 type Call struct {
-	Endpoint string   `json:"endpoint"`
-	Dest     int      `json:"dest"`
-	Conn     int      `json:"conn"`
-	Reused   bool     `json:"reused,omitempty"`
-	IDs      []string `json:"ids"`
-	First    float64  `json:"first"`          // its first byte came
-	Last     float64  `json:"last"`           // its last byte came
-	End      float64  `json:"end,omitempty"`  // its answer was written, or its connection ended; 0: neither
-	Left     bool     `json:"left,omitempty"` // the caller ended the connection
-	Status   int      `json:"status,omitempty"`
-	Wait     float64  `json:"wait,omitempty"` // told
-	States   []State  `json:"states"`         // as told, by id
-	Ran      []bool   `json:"ran"`            // as it was, by id
-	Why      string   `json:"why,omitempty"`  // what the endpoint did on purpose
+	Endpoint     string      `json:"endpoint"`
+	Dest         int         `json:"dest"`
+	ConnID       int         `json:"conn"`
+	Reused       bool        `json:"reused,omitempty"`
+	IDs          []string    `json:"ids"`
+	FirstByteAt  float64     `json:"first"`          // its first byte came
+	LastByteAt   float64     `json:"last"`           // its last byte came
+	EndedAt      float64     `json:"end,omitempty"`  // its answer was written, or its connection ended; 0: neither
+	CallerClosed bool        `json:"left,omitempty"` // the caller ended the connection
+	Status       int         `json:"status,omitempty"`
+	ToldWait     float64     `json:"wait,omitempty"` // told
+	States       []PushState `json:"states"`         // as told, by id
+	Ran          []bool      `json:"ran"`            // as it was, by id
+	Cause        string      `json:"why,omitempty"`  // what the endpoint did on purpose
 }
 
-// Told is what the agent told a dispatcher of endpoints.
-type Told struct {
-	Dispatcher int      `json:"dispatcher"`
-	At         float64  `json:"at"`
-	Version    int      `json:"version"`
-	Full       bool     `json:"full,omitempty"`
-	Entries    []Listed `json:"entries"`
+// ListUpdate is what the agent told a dispatcher of endpoints.
+type ListUpdate struct {
+	Dispatcher int         `json:"dispatcher"`
+	At         float64     `json:"at"`
+	Version    int         `json:"version"`
+	Full       bool        `json:"full,omitempty"`
+	Entries    []ListEntry `json:"entries"`
 }
 
-// Listed is one entry of the list.
-type Listed struct {
+// ListEntry is one entry of the list.
+type ListEntry struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
@@ -96,71 +96,75 @@
 	HandedBack = "handed_back"
 )
 
-// Life is something that happened to a dispatcher's process.
-type Life struct {
+// ProcessEvent is something that happened to a dispatcher's process.
+type ProcessEvent struct {
 	Dispatcher int     `json:"dispatcher"`
 	At         float64 `json:"at"`
-	What       string  `json:"what"`
-	Text       string  `json:"text,omitempty"`
+	Kind       string  `json:"what"`
+	Detail     string  `json:"text,omitempty"`
 }
 
 // What can happen to a process.
 const (
-	Started = "started"
-	Ready   = "ready"
-	Termed  = "told to end"
-	Killed  = "killed"
-	Stalled = "stands still"
-	Woken   = "goes on"
-	Ended   = "ended"   // as it was told to
-	Crashed = "crashed" // it ended and nobody asked
-	OverUse = "over"    // it used more than its limits
+	Started       = "started"
+	Ready         = "ready"
+	TerminateSent = "told to end"
+	Killed        = "killed"
+	Stalled       = "stands still"
+	Resumed       = "goes on"
+	Exited        = "ended"   // as it was told to
+	Crashed       = "crashed" // it ended and nobody asked
+	LimitExceeded = "over"    // it used more than its limits
 )
 
 // Journal gathers records; parts add to it side by side.
 type Journal struct {
-	lock    sync.Mutex
-	HandIns []*HandIn
-	Calls   []*Call
-	Told    []Told
-	Notices []Notice
-	Lives   []Life
+	lock          sync.Mutex
+	HandIns       []*HandIn
+	Calls         []*Call
+	ListUpdates   []ListUpdate
+	Notices       []Notice
+	ProcessEvents []ProcessEvent
 }
 
-// Change runs f with the journal to itself: records that are in it change only so.
-func (j *Journal) Change(f func()) {
+// WithLock runs f with the journal to itself: records that are in it change only so.
+func (j *Journal) WithLock(f func()) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	f()
 }
 
-// HandIn adds a hand-in.
-func (j *Journal) HandIn(h *HandIn) { j.Change(func() { j.HandIns = append(j.HandIns, h) }) }
+// AddHandIn adds a hand-in.
+func (j *Journal) AddHandIn(h *HandIn) { j.WithLock(func() { j.HandIns = append(j.HandIns, h) }) }
 
-// Until is when the first of the TTLs of some notifications ends.
-func (j *Journal) Until(ids []string) float64 {
+// EarliestExpiry is when the first of the TTLs of some notifications ends.
+func (j *Journal) EarliestExpiry(ids []string) float64 {
 	first := math.Inf(1)
-	j.Change(func() {
+	j.WithLock(func() {
 		for _, h := range j.HandIns {
 			if slices.Contains(ids, h.ID) {
-				first = min(first, h.Until)
+				first = min(first, h.ExpiresAt)
 			}
 		}
 	})
 	return first
 }
 
-// Call adds a call.
-func (j *Journal) Call(c *Call) { j.Change(func() { j.Calls = append(j.Calls, c) }) }
+// AddCall adds a call.
+func (j *Journal) AddCall(c *Call) { j.WithLock(func() { j.Calls = append(j.Calls, c) }) }
 
-// Tell adds what was told.
-func (j *Journal) Tell(t Told) { j.Change(func() { j.Told = append(j.Told, t) }) }
+// AddListUpdate adds what was told.
+func (j *Journal) AddListUpdate(t ListUpdate) {
+	j.WithLock(func() { j.ListUpdates = append(j.ListUpdates, t) })
+}
 
-// Notice adds a notice.
-func (j *Journal) Notice(n Notice) { j.Change(func() { j.Notices = append(j.Notices, n) }) }
+// AddNotice adds a notice.
+func (j *Journal) AddNotice(n Notice) { j.WithLock(func() { j.Notices = append(j.Notices, n) }) }
 
-// Life adds what happened to a process.
-func (j *Journal) Life(l Life) { j.Change(func() { j.Lives = append(j.Lives, l) }) }
+// AddProcessEvent adds what happened to a process.
+func (j *Journal) AddProcessEvent(l ProcessEvent) {
+	j.WithLock(func() { j.ProcessEvents = append(j.ProcessEvents, l) })
+}
 
 // Write writes all records, a JSON object a line, each named by its kind.
 func (j *Journal) Write(to io.Writer) error {
@@ -170,9 +174,9 @@
 	e := json.NewEncoder(b)
 	err := writeAll(e, "hand_in", j.HandIns, nil)
 	err = writeAll(e, "call", j.Calls, err)
-	err = writeAll(e, "told", j.Told, err)
+	err = writeAll(e, "told", j.ListUpdates, err)
 	err = writeAll(e, "notice", j.Notices, err)
-	err = writeAll(e, "life", j.Lives, err)
+	err = writeAll(e, "life", j.ProcessEvents, err)
 	if err != nil {
 		return err
 	}
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -28,8 +28,8 @@
 	SVG   template.HTML
 }
 
-// HTML writes a result as one page that needs no other file.
-func (r *Result) HTML(to io.Writer) error {
+// WriteHTML writes a result as one page that needs no other file.
+func (r *Result) WriteHTML(to io.Writer) error {
 	var pictures []picture
 	s := r.Series
 	add := func(title, unit string, log bool, dest int, lines ...line) error {
@@ -40,16 +40,16 @@
 		return err
 	}
 	err := add("Notifications by time", "a second", false, all, line{"offered", s.points(s.Offered)}, line{"delivered", s.points(s.Delivered)},
-		line{"of them late", s.points(s.Late)}, line{"refused", s.points(s.Refused)}, line{"ended by a notice", s.points(s.Ended)})
+		line{"of them late", s.points(s.Late)}, line{"refused", s.points(s.Refused)}, line{"ended by a notice", s.points(s.Notices)})
 	if err == nil {
-		err = add("Owed, and pushes out", "notifications", false, all, line{"owed", s.points(s.Owed)}, line{"pushes out", s.points(s.Out)})
+		err = add("Owed, and pushes out", "notifications", false, all, line{"owed", s.points(s.Owed)}, line{"pushes out", s.points(s.PushesInFlight)})
 	}
 	if err == nil {
 		var curves []line
 		for _, t := range r.Topics {
 			var xy plotter.XYs
 			for _, c := range t.Curve {
-				xy = append(xy, plotter.XY{X: math.Max(c.S, 1e-5), Y: c.Share})
+				xy = append(xy, plotter.XY{X: math.Max(c.Seconds, 1e-5), Y: c.Share})
 			}
 			curves = append(curves, line{t.Name, xy})
 		}
@@ -58,15 +58,15 @@
 	for _, p := range r.Partners {
 		if err == nil {
 			seconds := Series{Step: 1}
-			err = add(fmt.Sprintf("Destination %d (%s): %d calls, %d turned away", p.Dest, p.Kind, p.Calls, p.Full), "calls a second", false, p.Dest,
-				line{"calls", seconds.points(p.PerSecond)}, line{"what it can take", seconds.points(p.Capacity)})
+			err = add(fmt.Sprintf("Destination %d (%s): %d calls, %d turned away", p.Dest, p.Kind, p.Calls, p.Throttled), "calls a second", false, p.Dest,
+				line{"calls", seconds.points(p.CallRate)}, line{"what it can take", seconds.points(p.Capacity)})
 		}
 	}
 	if err != nil {
 		return err
 	}
 	var table bytes.Buffer
-	r.Table(&table)
+	r.WriteTable(&table)
 	return pageTemplate.Execute(to, map[string]any{"Title": r.Title, "Table": table.String(), "Pictures": pictures,
 		"Bands": r.Bands, "Broken": len(r.Violations)})
 }
@@ -113,12 +113,12 @@
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 		p.Legend.Left = true
 	} else {
-		p.X.Min, p.X.Max = 0, r.Ended
+		p.X.Min, p.X.Max = 0, r.EndedAt
 		for _, b := range r.Bands {
 			if dest != all && !slices.Contains(b.Dests, dest) && len(b.Dests) > 0 {
 				continue
 			}
-			band, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: 0}, {X: min(b.To, r.Ended), Y: 0}, {X: min(b.To, r.Ended), Y: top}, {X: b.From, Y: top}})
+			band, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: 0}, {X: min(b.To, r.EndedAt), Y: 0}, {X: min(b.To, r.EndedAt), Y: top}, {X: b.From, Y: top}})
 			if err != nil {
 				return "", err
 			}
--- a/lab/report/result.go
+++ b/lab/report/result.go
@@ -22,10 +22,10 @@
 	Title       string            `json:"title"`
 	Version     string            `json:"version"`
 	Seed        uint64            `json:"seed"`
-	Straight    bool              `json:"straight,omitempty"` // to the partners, with no dispatcher between
+	Direct      bool              `json:"straight,omitempty"` // to the partners, with no dispatcher between
 	Interrupted bool              `json:"interrupted,omitempty"`
-	Void        string            `json:"void,omitempty"` // why the run counts for nothing
-	Ended       float64           `json:"ended_s"`
+	VoidReason  string            `json:"void,omitempty"` // why the run counts for nothing
+	EndedAt     float64           `json:"ended_s"`
 	Totals      Totals            `json:"totals"`
 	Figures     Figures           `json:"figures"`
 	Topics      []Topic           `json:"topics"`
@@ -40,9 +40,9 @@
 // Totals are counts.
 type Totals struct {
 	Planned     int `json:"planned"`
-	Handed      int `json:"handed_in"`  // of the plan
+	HandedIn    int `json:"handed_in"`  // of the plan
 	Tries       int `json:"tries"`      // with those that clients made again
-	Taken       int `json:"taken"`      // tries taken on
+	Accepted    int `json:"taken"`      // tries taken on
 	Refused     int `json:"refused"`    // tries throttled at once
 	Unanswered  int `json:"unanswered"` // tries with no answer
 	Delivered   int `json:"delivered"`  // notifications of the plan
@@ -52,47 +52,47 @@
 	Unfinished  int `json:"unfinished"` // taken on, and no answer when the run ended
 	Calls       int `json:"calls"`
 	Pushes      int `json:"pushes"` // notifications in them
-	TurnedAway  int `json:"turned_away"`
+	Throttled   int `json:"turned_away"`
 	Wasted      int `json:"wasted"` // pushes that ran, or may have, and delivered nothing
 	Connections int `json:"connections"`
-	Owed        int `json:"most_owed"` // taken on and not over, at the worst moment
+	MaxOwed     int `json:"most_owed"` // taken on and not over, at the worst moment
 }
 
 // Figures are what runs are compared by. Times are seconds.
 type Figures struct {
-	Benefit     float64 `json:"benefit"` // delivered over asked for
-	TakenRate   float64 `json:"taken_per_s"`
-	Answer99    float64 `json:"answer_p99_s"` // from the planned moment to the client's answer
-	Push50      float64 `json:"push_p50_s"`   // from the hand-in to the first push's last byte
-	Push99      float64 `json:"push_p99_s"`
-	Push999     float64 `json:"push_p999_s"`
-	Delivered50 float64 `json:"delivered_p50_s"` // from the planned moment
-	Delivered99 float64 `json:"delivered_p99_s"`
-	PushesEach  float64 `json:"pushes_per_delivered"`
-	CPUEach     float64 `json:"cpu_s_per_taken"`
-	MemoryPeak  float64 `json:"memory_peak_bytes"` // the largest dispatcher
-	MemoryOwed  float64 `json:"memory_per_owed"`   // what its memory grew by, over what was owed at the worst moment
+	Benefit            float64 `json:"benefit"` // delivered over asked for
+	AcceptedRate       float64 `json:"taken_per_s"`
+	AnswerP99          float64 `json:"answer_p99_s"` // from the planned moment to the client's answer
+	PushP50            float64 `json:"push_p50_s"`   // from the hand-in to the first push's last byte
+	PushP99            float64 `json:"push_p99_s"`
+	PushP999           float64 `json:"push_p999_s"`
+	DeliveredP50       float64 `json:"delivered_p50_s"` // from the planned moment
+	DeliveredP99       float64 `json:"delivered_p99_s"`
+	PushesPerDelivered float64 `json:"pushes_per_delivered"`
+	CPUPerAccepted     float64 `json:"cpu_s_per_taken"`
+	MemoryPeak         float64 `json:"memory_peak_bytes"` // the largest dispatcher
+	MemoryPerOwed      float64 `json:"memory_per_owed"`   // what its memory grew by, over what was owed at the worst moment
 }
 
 // Topic is one topic type's part.
 type Topic struct {
-	Name      string  `json:"name"`
-	Planned   int     `json:"planned"`
-	Delivered int     `json:"delivered"`
-	Late      int     `json:"late"`
-	GivenUp   int     `json:"given_up"`
-	Benefit   float64 `json:"benefit"`
-	P50       float64 `json:"p50_s"`
-	P90       float64 `json:"p90_s"`
-	P99       float64 `json:"p99_s"`
-	P999      float64 `json:"p999_s"`
-	Curve     []Step  `json:"curve"` // of the latencies
+	Name      string       `json:"name"`
+	Planned   int          `json:"planned"`
+	Delivered int          `json:"delivered"`
+	Late      int          `json:"late"`
+	GivenUp   int          `json:"given_up"`
+	Benefit   float64      `json:"benefit"`
+	P50       float64      `json:"p50_s"`
+	P90       float64      `json:"p90_s"`
+	P99       float64      `json:"p99_s"`
+	P999      float64      `json:"p999_s"`
+	Curve     []CurvePoint `json:"curve"` // of the latencies
 }
 
-// Step is a point of a distribution: a share of all took this long at most.
-type Step struct {
-	Share float64 `json:"share"`
-	S     float64 `json:"s"`
+// CurvePoint is a point of a distribution: a share of all took this long at most.
+type CurvePoint struct {
+	Share   float64 `json:"share"`
+	Seconds float64 `json:"s"`
 }
 
 // Partner is one destination's part.
@@ -101,22 +101,22 @@
 	Kind      string    `json:"kind"`
 	Rate      float64   `json:"rate"` // calls a second that it can take
 	Calls     int       `json:"calls"`
-	Full      int       `json:"turned_away"`
+	Throttled int       `json:"turned_away"`
 	Delivered int       `json:"delivered"`
-	PerSecond []float64 `json:"calls_per_s"`
+	CallRate  []float64 `json:"calls_per_s"`
 	Capacity  []float64 `json:"capacity_per_s"`
 }
 
 // Series are counts by time, each over one step.
 type Series struct {
-	Step      float64   `json:"step_s"`
-	Offered   []float64 `json:"offered_per_s"`
-	Delivered []float64 `json:"delivered_per_s"`
-	Late      []float64 `json:"late_per_s"`
-	Refused   []float64 `json:"refused_per_s"`
-	Ended     []float64 `json:"notices_per_s"`
-	Owed      []float64 `json:"owed"`
-	Out       []float64 `json:"pushes_out"`
+	Step           float64   `json:"step_s"`
+	Offered        []float64 `json:"offered_per_s"`
+	Delivered      []float64 `json:"delivered_per_s"`
+	Late           []float64 `json:"late_per_s"`
+	Refused        []float64 `json:"refused_per_s"`
+	Notices        []float64 `json:"notices_per_s"`
+	Owed           []float64 `json:"owed"`
+	PushesInFlight []float64 `json:"pushes_out"`
 }
 
 // Band is a trouble on the time axis.
@@ -127,12 +127,12 @@
 	Dests []int   `json:"destinations,omitempty"` // of partners
 }
 
-// Run is what a run left.
-type Run struct {
+// RunData is what a run left.
+type RunData struct {
 	World    *scenario.World
 	Journal  *record.Journal
-	Ended    float64
-	Handed   int
+	EndedAt  float64
+	HandedIn int
 	Planned  int
 	Lateness load.Lateness
 	Usage    []fleet.Usage
@@ -154,10 +154,10 @@
 func (t times) at(q float64) float64 { return float64(t.ValueAtQuantile(q)) / 1e6 }
 
 // curve gives the distribution in few points, closer towards its end.
-func (t times) curve() []Step {
-	var list []Step
+func (t times) curve() []CurvePoint {
+	var list []CurvePoint
 	for _, q := range []float64{1, 5, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 100} {
-		list = append(list, Step{q / 100, t.at(q)})
+		list = append(list, CurvePoint{q / 100, t.at(q)})
 	}
 	return list
 }
@@ -203,12 +203,12 @@
 	f := fates{map[string]float64{}, map[string]float64{}, map[string]record.Notice{}}
 	for _, c := range j.Calls {
 		for i, id := range c.IDs {
-			if at, ok := f.first[id]; !ok || c.Last < at {
-				f.first[id] = c.Last
+			if at, ok := f.first[id]; !ok || c.LastByteAt < at {
+				f.first[id] = c.LastByteAt
 			}
-			if i < len(c.States) && c.States[i] == record.Done && c.End > 0 && !c.Left {
-				if at, ok := f.delivered[id]; !ok || c.End < at {
-					f.delivered[id] = c.End
+			if i < len(c.States) && c.States[i] == record.Delivered && c.EndedAt > 0 && !c.CallerClosed {
+				if at, ok := f.delivered[id]; !ok || c.EndedAt < at {
+					f.delivered[id] = c.EndedAt
 				}
 			}
 		}
@@ -221,15 +221,15 @@
 	return f
 }
 
-// Owed tells how many that were taken on have no final answer yet.
-func Owed(j *record.Journal) int {
+// CountOwed tells how many that were taken on have no final answer yet.
+func CountOwed(j *record.Journal) int {
 	n := 0
-	j.Change(func() {
+	j.WithLock(func() {
 		f := readFates(j)
 		for _, h := range j.HandIns {
 			_, delivered := f.delivered[h.ID]
 			_, noticed := f.notices[h.ID]
-			if h.Taken() && !delivered && !noticed {
+			if h.Accepted() && !delivered && !noticed {
 				n++
 			}
 		}
@@ -238,12 +238,12 @@
 }
 
 // New makes the figures of a run.
-func New(run Run) *Result {
+func New(run RunData) *Result {
 	w, j := run.World, run.Journal
-	r := &Result{Scenario: w.Name, Title: w.Title, Seed: w.Seed, Ended: run.Ended, Lateness: run.Lateness, Dispatchers: run.Usage}
-	r.Totals.Planned, r.Totals.Handed = run.Planned, run.Handed
-	step := max(0.1, run.Ended/120)
-	n := int(run.Ended/step) + 1
+	r := &Result{Scenario: w.Name, Title: w.Title, Seed: w.Seed, EndedAt: run.EndedAt, Lateness: run.Lateness, Dispatchers: run.Usage}
+	r.Totals.Planned, r.Totals.HandedIn = run.Planned, run.HandedIn
+	step := max(0.1, run.EndedAt/120)
+	n := int(run.EndedAt/step) + 1
 	line := func() series { return series{step, make([]float64, n)} }
 	offered, delivered, late, refused, ended, owed, out := line(), line(), line(), line(), line(), line(), line()
 
@@ -263,24 +263,24 @@
 		t := &r.Topics[i]
 		r.Totals.Tries++
 		if h.Try == 0 {
-			offered.add(h.Planned, 1)
+			offered.add(h.PlannedAt, 1)
 			t.Planned++
 			asked[i] += w.Topics[i].Benefit
 		}
 		switch {
-		case h.Taken():
-			r.Totals.Taken++
-			answers.add(h.Answered - h.Planned)
+		case h.Accepted():
+			r.Totals.Accepted++
+			answers.add(h.AnsweredAt - h.PlannedAt)
 			if at, ok := f.first[h.ID]; ok {
-				pushes.add(at - h.Sent)
+				pushes.add(at - h.SentAt)
 			}
 		case h.Status > 0:
 			r.Totals.Refused++
-			refused.add(h.Answered, 1)
+			refused.add(h.AnsweredAt, 1)
 		default:
 			r.Totals.Unanswered++
 		}
-		if !h.Taken() {
+		if !h.Accepted() {
 			continue
 		}
 		at, ok := f.delivered[h.ID]
@@ -288,10 +288,10 @@
 		over := at
 		switch {
 		case ok:
-			if was, again := best[h.Origin]; !again || at < was {
-				best[h.Origin] = at
+			if was, again := best[h.PlanIndex]; !again || at < was {
+				best[h.PlanIndex] = at
 				if !again {
-					took := at - h.Planned
+					took := at - h.PlannedAt
 					r.Totals.Delivered++
 					t.Delivered++
 					deliveries.add(took)
@@ -315,11 +315,11 @@
 				t.GivenUp++
 			}
 		default:
-			over = run.Ended
+			over = run.EndedAt
 			r.Totals.Unfinished++
 		}
-		owed.add(h.Answered, 1)
-		owed.add(max(over, h.Answered), -1)
+		owed.add(h.AnsweredAt, 1)
+		owed.add(max(over, h.AnsweredAt), -1)
 	}
 	r.calls(run, out)
 	for i := range r.Topics {
@@ -329,9 +329,9 @@
 		t.Benefit = over(earned[i], asked[i])
 	}
 	r.Series = Series{step, offered.rate(), delivered.rate(), late.rate(), refused.rate(), ended.rate(), owed.level(), out.level()}
-	r.Totals.Owed = int(slices.Max(r.Series.Owed))
+	r.Totals.MaxOwed = int(slices.Max(r.Series.Owed))
 	for _, t := range w.Troubles {
-		if !t.OfPartners() {
+		if !t.AffectsPartners() {
 			r.Bands = append(r.Bands, Band{t.Kind, t.At, max(t.End(), t.At+t.Wait), nil})
 		}
 	}
@@ -339,36 +339,36 @@
 		r.Bands = append(r.Bands, Band{f.Kind, f.At, max(f.End(), f.At+f.Wait), slices.Sorted(maps.Keys(f.Dests))})
 	}
 	slices.SortStableFunc(r.Bands, func(a, b Band) int { return cmp.Compare(a.From, b.From) })
-	r.Figures = Figures{Benefit: over(sum(earned), sum(asked)), TakenRate: float64(r.Totals.Taken) / min(w.Length, max(run.Ended, 1)),
-		Answer99: answers.at(99), Push50: pushes.at(50), Push99: pushes.at(99), Push999: pushes.at(99.9),
-		Delivered50: deliveries.at(50), Delivered99: deliveries.at(99),
-		PushesEach: over(float64(r.Totals.Pushes), float64(r.Totals.Delivered))}
+	r.Figures = Figures{Benefit: over(sum(earned), sum(asked)), AcceptedRate: float64(r.Totals.Accepted) / min(w.Length, max(run.EndedAt, 1)),
+		AnswerP99: answers.at(99), PushP50: pushes.at(50), PushP99: pushes.at(99), PushP999: pushes.at(99.9),
+		DeliveredP50: deliveries.at(50), DeliveredP99: deliveries.at(99),
+		PushesPerDelivered: over(float64(r.Totals.Pushes), float64(r.Totals.Delivered))}
 	cpu, peak, rest := 0.0, 0, 0
 	for _, u := range run.Usage {
-		cpu += u.CPU
-		if u.Peak > peak {
-			peak, rest = u.Peak, u.AtRest
+		cpu += u.CPUSeconds
+		if u.PeakBytes > peak {
+			peak, rest = u.PeakBytes, u.IdleBytes
 		}
 	}
-	r.Figures.CPUEach, r.Figures.MemoryPeak = over(cpu, float64(r.Totals.Taken)), float64(peak)
-	r.Figures.MemoryOwed = over(float64(peak-rest), float64(r.Totals.Owed)/max(1, float64(len(run.Usage))))
+	r.Figures.CPUPerAccepted, r.Figures.MemoryPeak = over(cpu, float64(r.Totals.Accepted)), float64(peak)
+	r.Figures.MemoryPerOwed = over(float64(peak-rest), float64(r.Totals.MaxOwed)/max(1, float64(len(run.Usage))))
 	return r
 }
 
 // calls counts what reached the partners.
-func (r *Result) calls(run Run, out series) {
+func (r *Result) calls(run RunData, out series) {
 	w := run.World
 	partners := make([]Partner, len(w.Partners))
 	perDest := make([]series, len(w.Partners))
-	seconds := int(run.Ended) + 1
+	seconds := int(run.EndedAt) + 1
 	conns := map[int]bool{}
 	for _, c := range run.Journal.Calls {
 		r.Totals.Calls++
 		r.Totals.Pushes += len(c.IDs)
-		conns[c.Conn] = true
-		out.add(c.Last, float64(len(c.IDs)))
-		if c.End > 0 {
-			out.add(c.End, -float64(len(c.IDs)))
+		conns[c.ConnID] = true
+		out.add(c.LastByteAt, float64(len(c.IDs)))
+		if c.EndedAt > 0 {
+			out.add(c.EndedAt, -float64(len(c.IDs)))
 		}
 		if c.Dest < 0 || c.Dest >= len(partners) {
 			continue
@@ -378,15 +378,15 @@
 		if perDest[c.Dest].list == nil {
 			perDest[c.Dest] = series{1, make([]float64, seconds)}
 		}
-		perDest[c.Dest].add(c.Last, 1)
+		perDest[c.Dest].add(c.LastByteAt, 1)
 		for i, s := range c.States {
 			switch {
-			case s == record.Busy:
-				r.Totals.TurnedAway++
-				p.Full++
-			case s == record.Done && c.End > 0 && !c.Left:
+			case s == record.Throttled:
+				r.Totals.Throttled++
+				p.Throttled++
+			case s == record.Delivered && c.EndedAt > 0 && !c.CallerClosed:
 				p.Delivered++
-			case c.Ran[i] || s != record.Done:
+			case c.Ran[i] || s != record.Delivered:
 				r.Totals.Wasted++
 			}
 		}
@@ -397,12 +397,12 @@
 	}
 	slices.SortStableFunc(partners, func(a, b Partner) int { return cmp.Compare(b.Calls, a.Calls) })
 	for _, p := range partners[:min(partnersKept, len(partners))] {
-		if p.PerSecond = perDest[p.Dest].list; p.PerSecond == nil {
+		if p.CallRate = perDest[p.Dest].list; p.CallRate == nil {
 			continue
 		}
 		for s := range seconds {
-			capacity := p.Rate * w.Warmth(p.Dest, float64(s)+0.5)
-			if w.Down(p.Dest, float64(s)+0.5) {
+			capacity := p.Rate * w.CapacityShare(p.Dest, float64(s)+0.5)
+			if w.InOutage(p.Dest, float64(s)+0.5) {
 				capacity = 0
 			}
 			p.Capacity = append(p.Capacity, capacity)
--- a/lab/report/text.go
+++ b/lab/report/text.go
@@ -47,32 +47,32 @@
 // evidenceShown is how many violations of a rule the table names.
 const evidenceShown = 5
 
-// Table writes a result for a person.
-func (r *Result) Table(to io.Writer) {
+// WriteTable writes a result for a person.
+func (r *Result) WriteTable(to io.Writer) {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	row := func(name, format string, args ...any) { fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
-	fmt.Fprintf(t, "%s (seed %d, simulated partners and clients, %.1f s)\n\n", r.Title, r.Seed, r.Ended)
+	fmt.Fprintf(t, "%s (seed %d, simulated partners and clients, %.1f s)\n\n", r.Title, r.Seed, r.EndedAt)
 	if r.Interrupted {
 		row("interrupted", "the figures are of the part that was played")
 	}
-	if r.Void != "" {
-		row("void", "%s", r.Void)
+	if r.VoidReason != "" {
+		row("void", "%s", r.VoidReason)
 	}
 	n, f := r.Totals, r.Figures
 	row("notifications", "%d planned, %d handed in, %d delivered (%d late), %d given up, %d handed back, %d unfinished",
-		n.Planned, n.Handed, n.Delivered, n.Late, n.GivenUp, n.HandedBack, n.Unfinished)
+		n.Planned, n.HandedIn, n.Delivered, n.Late, n.GivenUp, n.HandedBack, n.Unfinished)
 	row("hand-ins", "%d tries: %d taken on (%.0f/s), %d refused, %d unanswered; answer p99 %s",
-		n.Tries, n.Taken, f.TakenRate, n.Refused, n.Unanswered, span(f.Answer99))
+		n.Tries, n.Accepted, f.AcceptedRate, n.Refused, n.Unanswered, span(f.AnswerP99))
 	row("benefit", "%.3f of what was asked for", f.Benefit)
 	row("calls", "%d with %d pushes on %d connections; %d turned away, %d wasted; %.2f pushes for each delivered",
-		n.Calls, n.Pushes, n.Connections, n.TurnedAway, n.Wasted, f.PushesEach)
-	row("hand-in to push", "p50 %s, p99 %s, p99.9 %s", span(f.Push50), span(f.Push99), span(f.Push999))
-	row("planned to delivered", "p50 %s, p99 %s", span(f.Delivered50), span(f.Delivered99))
-	row("generator", "late by p50 %s, p99 %s, at most %s", span(r.Lateness.P50), span(r.Lateness.P99), span(r.Lateness.Most))
+		n.Calls, n.Pushes, n.Connections, n.Throttled, n.Wasted, f.PushesPerDelivered)
+	row("hand-in to push", "p50 %s, p99 %s, p99.9 %s", span(f.PushP50), span(f.PushP99), span(f.PushP999))
+	row("planned to delivered", "p50 %s, p99 %s", span(f.DeliveredP50), span(f.DeliveredP99))
+	row("generator", "late by p50 %s, p99 %s, at most %s", span(r.Lateness.P50), span(r.Lateness.P99), span(r.Lateness.Max))
 	for i, u := range r.Dispatchers {
 		row(fmt.Sprint("dispatcher ", i), "%.2f core seconds (%.0f us for each taken on), %.1f MB (%.1f at rest), %d descriptors, folder %.0f KB",
-			u.CPU, f.CPUEach*1e6, float64(u.Peak)/1e6, float64(u.AtRest)/1e6, u.Descriptors, float64(u.Disk)/1e3)
+			u.CPUSeconds, f.CPUPerAccepted*1e6, float64(u.PeakBytes)/1e6, float64(u.IdleBytes)/1e6, u.PeakDescriptors, float64(u.PeakDiskBytes)/1e3)
 	}
 	fmt.Fprintf(t, "\ntopic type\tplanned\tdelivered\tlate\tgiven up\tbenefit\tp50\tp99\tp99.9\n")
 	for _, x := range r.Topics {
@@ -113,15 +113,15 @@
 
 // Difference is one figure of two sets of runs.
 type Difference struct {
-	Scenario string  `json:"scenario"`
-	RunsA    int     `json:"runs_a"`
-	RunsB    int     `json:"runs_b"`
-	Figure   string  `json:"figure"`
-	A        float64 `json:"a"`
-	B        float64 `json:"b"`
-	NoiseA   float64 `json:"noise_a"` // standard deviation over the repeats
-	NoiseB   float64 `json:"noise_b"`
-	Beyond   bool    `json:"beyond_noise"` // the difference is more than twice the larger of them; never of single runs
+	Scenario    string  `json:"scenario"`
+	RunsA       int     `json:"runs_a"`
+	RunsB       int     `json:"runs_b"`
+	Figure      string  `json:"figure"`
+	MeanA       float64 `json:"a"`
+	MeanB       float64 `json:"b"`
+	NoiseA      float64 `json:"noise_a"` // standard deviation over the repeats
+	NoiseB      float64 `json:"noise_b"`
+	BeyondNoise bool    `json:"beyond_noise"` // the difference is more than twice the larger of them; never of single runs
 }
 
 // Compare sets the figures of two files beside each other, those of each scenario that both played.
@@ -136,9 +136,9 @@
 				continue
 			}
 			d := Difference{Scenario: name, Figure: t.Field(i).Tag.Get("json"), RunsA: len(x), RunsB: len(y)}
-			d.A, d.NoiseA = stat.PopMeanStdDev(x, nil)
-			d.B, d.NoiseB = stat.PopMeanStdDev(y, nil)
-			d.Beyond = len(x) > 1 && len(y) > 1 && max(d.B-d.A, d.A-d.B) > 2*max(d.NoiseA, d.NoiseB)
+			d.MeanA, d.NoiseA = stat.PopMeanStdDev(x, nil)
+			d.MeanB, d.NoiseB = stat.PopMeanStdDev(y, nil)
+			d.BeyondNoise = len(x) > 1 && len(y) > 1 && max(d.MeanB-d.MeanA, d.MeanA-d.MeanB) > 2*max(d.NoiseA, d.NoiseB)
 			list = append(list, d)
 		}
 	}
@@ -175,8 +175,8 @@
 	return list
 }
 
-// CompareTable writes a comparison for a person.
-func CompareTable(to io.Writer, nameA, nameB string, a, b File) {
+// WriteComparison writes a comparison for a person.
+func WriteComparison(to io.Writer, nameA, nameB string, a, b File) {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	list := Compare(a, b)
@@ -191,10 +191,10 @@
 		switch {
 		case d.RunsA == 1 || d.RunsB == 1:
 			verdict = "noise not known: use --repeat"
-		case d.Beyond:
+		case d.BeyondNoise:
 			verdict = "beyond the noise"
 		}
-		fmt.Fprintf(t, "%s\t%.4g\t%.2g\t%.4g\t%.2g\t%+.3g\t%s\n", d.Figure, d.A, d.NoiseA, d.B, d.NoiseB, d.B-d.A, verdict)
+		fmt.Fprintf(t, "%s\t%.4g\t%.2g\t%.4g\t%.2g\t%+.3g\t%s\n", d.Figure, d.MeanA, d.NoiseA, d.MeanB, d.NoiseB, d.MeanB-d.MeanA, verdict)
 	}
 	fmt.Fprintf(t, "rules broken\t%d\t\t%d\t\t%+d\t\n", broken(a), broken(b), broken(b)-broken(a))
 }
--- a/lab/rules/flow.go
+++ b/lab/rules/flow.go
@@ -17,7 +17,7 @@
 	for _, p := range c.world.Partners {
 		var back []scenario.Fault
 		for _, f := range c.world.Faults {
-			if f.Outage() && !f.Warm && f.Endpoint == 0 && f.Dests[p.Dest] {
+			if f.CausesOutage() && !f.ReturnsWarm && f.Endpoint == 0 && f.Dests[p.Dest] {
 				back = append(back, f)
 			}
 		}
@@ -28,29 +28,29 @@
 }
 
 func (c *check) returned(p scenario.Partner, f scenario.Fault) {
-	strain := behaviour.Strain{Multiple: c.world.Returns.Multiple, Span: c.world.Returns.Fall, Capacity: func(now float64) float64 {
-		return p.Rate * c.world.Warmth(p.Dest, now)
+	strain := behaviour.OverloadDetector{OverloadFactor: c.world.Recovery.OverloadFactor, Span: c.world.Recovery.OverloadSpan, Capacity: func(now float64) float64 {
+		return p.Rate * c.world.CapacityShare(p.Dest, now)
 	}}
 	var by []int // the dispatchers of the calls since its return
 	for _, call := range c.journal.Calls {
-		if call.Dest != p.Dest || call.Last < f.End() || call.Last > f.End()+c.world.Returns.ColdSpan || c.world.Down(p.Dest, call.Last) {
+		if call.Dest != p.Dest || call.LastByteAt < f.End() || call.LastByteAt > f.End()+c.world.Recovery.WarmUp || c.world.InOutage(p.Dest, call.LastByteAt) {
 			continue
 		}
 		d := c.dispatcher(call)
 		by = append(by, d)
-		if !strain.Add(call.Last) {
+		if !strain.AddCall(call.LastByteAt) {
 			continue
 		}
-		n, seen := len(strain.Calls()), 0
+		n, seen := len(strain.RecentCalls()), 0
 		for _, d := range by[len(by)-n:] {
-			if c.saw(d, p.Dest, f, call.Last) {
+			if c.saw(d, p.Dest, f, call.LastByteAt) {
 				seen++
 			}
 		}
 		if float64(seen) >= seenShare*float64(n) {
-			c.broken(Violation{Rule: Pushed, At: call.Last, Dispatcher: d, ID: call.IDs[0], Endpoint: call.Endpoint, Evidence: fmt.Sprintf(
+			c.broken(Violation{Rule: Overload, At: call.LastByteAt, Dispatcher: d, ID: call.IDs[0], Endpoint: call.Endpoint, Evidence: fmt.Sprintf(
 				"back since %.3f, it can take %.2f calls/s and got %d in %.1f s, %d of them from dispatchers that had seen the outage",
-				f.End(), p.Rate*c.world.Warmth(p.Dest, call.Last), n, c.world.Returns.Fall, seen)})
+				f.End(), p.Rate*c.world.CapacityShare(p.Dest, call.LastByteAt), n, c.world.Recovery.OverloadSpan, seen)})
 			return // it has fallen
 		}
 	}
@@ -61,19 +61,19 @@
 // having tried.
 func (c *check) saw(d, dest int, f scenario.Fault, now float64) bool {
 	from := f.At
-	for _, l := range c.journal.Lives {
-		if l.Dispatcher == d && l.What == record.Started && l.At <= now {
+	for _, l := range c.journal.ProcessEvents {
+		if l.Dispatcher == d && l.Kind == record.Started && l.At <= now {
 			from = max(from, l.At)
 		}
 	}
-	if f.Kind == scenario.Refuse {
+	if f.Kind == scenario.RefuseConnections {
 		return slices.ContainsFunc(c.journal.HandIns, func(h *record.HandIn) bool {
-			return h.Dispatcher == d && h.Dest == dest && h.Taken() && h.Answered < f.End()-letPass && h.Until > from && from < f.End()
+			return h.Dispatcher == d && h.Dest == dest && h.Accepted() && h.AnsweredAt < f.End()-letPass && h.ExpiresAt > from && from < f.End()
 		})
 	}
 	return slices.ContainsFunc(c.journal.Calls, func(call *record.Call) bool {
-		return call.Dest == dest && call.Last >= from && call.Last < f.End() && c.dispatcher(call) == d &&
-			(len(call.States) == 0 || call.States[0] != record.Done)
+		return call.Dest == dest && call.LastByteAt >= from && call.LastByteAt < f.End() && c.dispatcher(call) == d &&
+			(len(call.States) == 0 || call.States[0] != record.Delivered)
 	})
 }
 
@@ -85,32 +85,32 @@
 	}
 	lines := map[line][]*record.HandIn{}
 	for _, h := range c.journal.HandIns {
-		if h.Key != "" && h.Taken() && c.topics[h.Topic].Ordered {
+		if h.Key != "" && h.Accepted() && c.topics[h.Topic].Ordered {
 			l := line{h.Dispatcher, h.Key}
 			lines[l] = append(lines[l], h)
 		}
 	}
 	for _, list := range lines {
-		slices.SortStableFunc(list, func(a, b *record.HandIn) int { return cmp.Compare(a.Sent, b.Sent) })
+		slices.SortStableFunc(list, func(a, b *record.HandIn) int { return cmp.Compare(a.SentAt, b.SentAt) })
 		free, last := math.Inf(-1), "" // when all that came before was over and out of the way, and which was the last of it
 		why := ""
 		for _, h := range list {
 			for _, p := range c.pushes[h.ID] {
-				if p.First < free-slack {
-					c.broken(Violation{Rule: Order, At: p.First, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: p.Endpoint, Evidence: fmt.Sprintf(
-						"pushed at %.3f; %s of the same key (%s) was taken before it and %s until %.3f", p.First, last, h.Key, why, free)})
+				if p.FirstByteAt < free-slack {
+					c.broken(Violation{Rule: Order, At: p.FirstByteAt, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: p.Endpoint, Evidence: fmt.Sprintf(
+						"pushed at %.3f; %s of the same key (%s) was taken before it and %s until %.3f", p.FirstByteAt, last, h.Key, why, free)})
 				}
 			}
 			over, _ := c.over(h.ID)
-			if over = min(over, h.Until+overdue); over > free {
+			if over = min(over, h.ExpiresAt+overdue); over > free {
 				free, last, why = over, h.ID, "was not over"
 			}
 			for _, p := range c.pushes[h.ID] {
-				end := p.End
+				end := p.EndedAt
 				if end == 0 {
 					end = math.Inf(1)
-				} else if p.state == record.Open {
-					end += c.world.Dispatchers.KeyRest
+				} else if p.state == record.Unanswered {
+					end += c.world.Dispatchers.KeyCooldown
 				}
 				if end > free {
 					free, last, why = end, h.ID, "had a push that was out, or rested,"
@@ -125,23 +125,23 @@
 	type pair struct{ dispatcher, dest int }
 	running := map[pair]*record.Call{} // the one that ends last
 	told := slices.Clone(c.journal.Calls)
-	told = slices.DeleteFunc(told, func(x *record.Call) bool { return x.Wait <= 0 || x.End == 0 || x.Left })
-	slices.SortFunc(told, func(a, b *record.Call) int { return cmp.Compare(a.End, b.End) })
+	told = slices.DeleteFunc(told, func(x *record.Call) bool { return x.ToldWait <= 0 || x.EndedAt == 0 || x.CallerClosed })
+	slices.SortFunc(told, func(a, b *record.Call) int { return cmp.Compare(a.EndedAt, b.EndedAt) })
 	for _, call := range c.journal.Calls { // they stand in the order of their last bytes
-		for len(told) > 0 && told[0].End <= call.Last-letPass-slack {
+		for len(told) > 0 && told[0].EndedAt <= call.LastByteAt-letPass-slack {
 			p := pair{c.dispatcher(told[0]), told[0].Dest}
-			if r := running[p]; r == nil || r.End+r.Wait < told[0].End+told[0].Wait {
+			if r := running[p]; r == nil || r.EndedAt+r.ToldWait < told[0].EndedAt+told[0].ToldWait {
 				running[p] = told[0]
 			}
 			told = told[1:]
 		}
 		p := pair{c.dispatcher(call), call.Dest}
 		r := running[p]
-		if r == nil || call.Last >= r.End+r.Wait-clocks || c.between(p.dispatcher, r.End-slack, call.Last, record.Started) {
+		if r == nil || call.LastByteAt >= r.EndedAt+r.ToldWait-clocks || c.between(p.dispatcher, r.EndedAt-slack, call.LastByteAt, record.Started) {
 			continue
 		}
-		c.broken(Violation{Rule: Waits, At: call.Last, Dispatcher: p.dispatcher, ID: call.IDs[0], Endpoint: call.Endpoint, Evidence: fmt.Sprintf(
-			"called at %.3f; at %.3f %s had told it to wait until %.3f", call.Last, r.End, r.Endpoint, r.End+r.Wait)})
+		c.broken(Violation{Rule: ToldWait, At: call.LastByteAt, Dispatcher: p.dispatcher, ID: call.IDs[0], Endpoint: call.Endpoint, Evidence: fmt.Sprintf(
+			"called at %.3f; at %.3f %s had told it to wait until %.3f", call.LastByteAt, r.EndedAt, r.Endpoint, r.EndedAt+r.ToldWait)})
 	}
 }
 
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-var troubles = []string{Refuse, Hang, Errors, Slow, Lost, Reset, Reused, Late, Cut, Spoil, Close, Shut, Limit, Drain, Kill, Restart, Stall,
-	ListDown, ListSlow, Series, Move, Surge, Hot, BusyDisk}
+var troubles = []string{RefuseConnections, Hang, FailCalls, SlowAnswers, LoseAnswers, ResetConnections, BreakReused, LateAnswers, TruncateAnswers, CorruptAnswers, CloseAfterAnswer, RejectAll, ChangeLimit, Drain, Kill, Restart, Stall,
+	ListDown, ListSlow, SignalSeries, MoveAgent, Surge, HotClient, BusyDisk}
 
-// OfPartners tells whether a trouble is one of destinations' endpoints.
-func (t Trouble) OfPartners() bool {
+// AffectsPartners tells whether a trouble is one of destinations' endpoints.
+func (t Trouble) AffectsPartners() bool {
 	return slices.Index(troubles, t.Kind) <= slices.Index(troubles, Drain)
 }
 
-// OfDispatchers tells whether it is one of dispatchers or what is beside them.
-func (t Trouble) OfDispatchers() bool {
-	return slices.Contains([]string{Kill, Restart, Stall, Series, ListDown, ListSlow, Move}, t.Kind)
+// AffectsDispatchers tells whether it is one of dispatchers or what is beside them.
+func (t Trouble) AffectsDispatchers() bool {
+	return slices.Contains([]string{Kill, Restart, Stall, SignalSeries, ListDown, ListSlow, MoveAgent}, t.Kind)
 }
 
 // The sizes that a run is bounded by: it stops by itself, on one machine.
@@ -40,25 +40,25 @@
 	}
 	word := func(key, v string, list ...string) {
 		if !slices.Contains(list, v) {
-			bad(key, "cannot be %q: did you mean %q?", v, Nearest(v, list))
+			bad(key, "cannot be %q: did you mean %q?", v, ClosestMatch(v, list))
 		}
 	}
 	between("length", s.Length, 0.5, mostLength)
 	d := s.Dispatchers
 	between("dispatchers.count", float64(d.Count), 1, mostDispatchers)
-	between("dispatchers.slots", float64(d.Slots), 2, 100_000)
-	between("dispatchers.held", float64(d.Held), 1, 1e6)
-	between("dispatchers.pushes", float64(d.Pushes), 1, 100)
-	between("dispatchers.tick", d.Tick, 0.0005, 1)
-	between("dispatchers.dial", d.Dial, 0.01, 10)
+	between("dispatchers.slots", float64(d.MaxCalls), 2, 100_000)
+	between("dispatchers.held", float64(d.MaxHeld), 1, 1e6)
+	between("dispatchers.pushes", float64(d.MaxPushes), 1, 100)
+	between("dispatchers.tick", d.TickInterval, 0.0005, 1)
+	between("dispatchers.dial", d.DialTimeout, 0.01, 10)
 	between("dispatchers.cores", d.Cores, 0.1, 64)
 	between("dispatchers.memory", d.MemoryMB, 16, 1e5)
 	between("dispatchers.sockets", float64(d.Sockets), 32, 1e6)
 	between("dispatchers.disk", d.DiskMB, 0.1, 1e5)
-	between("returns.cold_from", s.Returns.ColdFrom, 0.01, 1)
-	between("returns.cold_span", s.Returns.ColdSpan, 0.1, 600)
-	between("returns.multiple", s.Returns.Multiple, 1, 100)
-	between("returns.fall", s.Returns.Fall, 0.1, 60)
+	between("returns.cold_from", s.Recovery.InitialCapacity, 0.01, 1)
+	between("returns.cold_span", s.Recovery.WarmUp, 0.1, 600)
+	between("returns.multiple", s.Recovery.OverloadFactor, 1, 100)
+	between("returns.fall", s.Recovery.OverloadSpan, 0.1, 60)
 
 	if len(s.Topics) == 0 {
 		bad("topics", "there are none: add a [[topics]] with name, repeat, objective and ttl")
@@ -71,7 +71,7 @@
 		}
 		names[t.Name] = true
 		word(at+"repeat", t.Repeat, Repeatable, Collapsible, OnceOnly)
-		word(at+"group", t.Group, GroupAll, GroupZone)
+		word(at+"group", t.DedupScope, DedupScopeAll, DedupScopeZone)
 		between(at+"objective", t.Objective, 0.01, 600)
 		between(at+"ttl", t.TTL, max(0.05, t.Objective), 600)
 		between(at+"late_benefit", t.LateBenefit, 0, 1)
@@ -92,13 +92,13 @@
 			bad(at+"name", "cannot be %q: each kind needs a name of its own", k.Name)
 		}
 		kinds[k.Name] = true
-		word(at+"limit", k.Limit, NoLimit, RateLimit, WindowLimit)
-		between(at+"batch", float64(k.Batch), 1, 1000)
-		between(at+"tell_wait", k.TellWait, 0, 1)
-		between(at+"window", k.Window, 0.01, 600)
-		between(at+"idle", k.Idle, 0.05, 600)
-		between(at+"handshake", k.Handshake, 0, 10)
-		between(at+"connections", float64(k.Connections), 0, 1e6)
+		word(at+"limit", k.LimitKind, NoLimit, RateLimit, WindowLimit)
+		between(at+"batch", float64(k.BatchSize), 1, 1000)
+		between(at+"tell_wait", k.ToldWaitShare, 0, 1)
+		between(at+"window", k.LimitWindow, 0.01, 600)
+		between(at+"idle", k.IdleTimeout, 0.05, 600)
+		between(at+"handshake", k.HandshakeDelay, 0, 10)
+		between(at+"connections", float64(k.MaxConnections), 0, 1e6)
 	}
 	if len(s.Groups) == 0 {
 		bad("destinations", "there are none: add a [[destinations]] with count and kind")
@@ -111,17 +111,17 @@
 		}
 		between(at+"count", float64(g.Count), 1, mostDestinations)
 		between(at+"endpoints", float64(g.Endpoints), 1, 16)
-		word(at+"spread", g.Spread, Even, Zipf, Listed)
-		if g.Spread == Listed && len(g.Shares) != g.Count {
+		word(at+"spread", g.Distribution, EvenShares, ZipfShares, ListedShares)
+		if g.Distribution == ListedShares && len(g.Shares) != g.Count {
 			bad(at+"shares", "holds %d numbers: give one for each of the %d destinations", len(g.Shares), g.Count)
 		}
-		between(at+"room", g.Room, 0.01, 1000)
-		between(at+"service", g.Service, 0, 60)
-		between(at+"service_spread", g.ServiceSpread, 0, 3)
-		between(at+"pace_spread", g.PaceSpread, 0, 3)
-		between(at+"listeners", float64(g.Listeners), 0, 10_000)
+		between(at+"room", g.CapacityFactor, 0.01, 1000)
+		between(at+"service", g.ServiceTime, 0, 60)
+		between(at+"service_spread", g.ServiceSigma, 0, 3)
+		between(at+"pace_spread", g.MedianSigma, 0, 3)
+		between(at+"listeners", float64(g.SharedListeners), 0, 10_000)
 		n += g.Count
-		if listeners += g.Listeners * g.Endpoints; g.Listeners == 0 {
+		if listeners += g.SharedListeners * g.Endpoints; g.SharedListeners == 0 {
 			listeners += g.Count * g.Endpoints
 		}
 	}
@@ -133,15 +133,15 @@
 	}
 	l := s.Load
 	between("load.rate", l.Rate, 0.1, mostRate)
-	between("load.closed", float64(l.Closed), 0, 10_000)
+	between("load.closed", float64(l.ClosedLoop), 0, 10_000)
 	between("load.clients", float64(l.Clients), 1, 1000)
-	between("load.clumps", l.Clumps, 0, 1)
-	between("load.clump_size", float64(l.ClumpSize), 1, 10_000)
+	between("load.clumps", l.BurstShare, 0, 1)
+	between("load.clump_size", float64(l.BurstSize), 1, 10_000)
 	between("load.keys", float64(l.Keys), 1, 1e6)
-	between("load.body", float64(l.Body), 0, 48<<10)
-	between("load.retries", float64(l.Retries), 0, 20)
-	between("load.retry_wait", l.RetryWait, 0.01, 60)
-	between("load.late_bound", l.LateBound, 0.001, 10)
+	between("load.body", float64(l.BodyBytes), 0, 48<<10)
+	between("load.retries", float64(l.MaxRetries), 0, 20)
+	between("load.retry_wait", l.RetryDelay, 0.01, 60)
+	between("load.late_bound", l.MaxLateness, 0.001, 10)
 	for i, p := range l.Ramp {
 		between(fmt.Sprintf("load.ramp[%d].factor", i), p.Factor, 0, 1000)
 		if i > 0 && p.At <= l.Ramp[i-1].At {
@@ -155,21 +155,21 @@
 		at := fmt.Sprintf("troubles[%d].", i)
 		word(at+"kind", t.Kind, troubles...)
 		between(at+"at", t.At, 0, s.Length)
-		between(at+"for", t.For, 0, mostLength)
+		between(at+"for", t.Duration, 0, mostLength)
 		between(at+"share", t.Share, 0, 1)
 		between(at+"factor", t.Factor, 0, 1000)
-		between(at+"times", float64(t.Times), 0, 100)
-		if t.OfPartners() {
+		between(at+"times", float64(t.SignalCount), 0, 100)
+		if t.AffectsPartners() {
 			if len(t.Destinations) == 0 {
 				word(at+"pick", t.Pick, "largest", "smallest", "random", "all")
-				if (t.Kind == Refuse || t.Kind == Drain) && slices.ContainsFunc(s.Groups, func(g Destinations) bool { return g.Listeners > 0 }) {
+				if (t.Kind == RefuseConnections || t.Kind == Drain) && slices.ContainsFunc(s.Groups, func(g DestinationGroup) bool { return g.SharedListeners > 0 }) {
 					bad(at+"pick", "cannot be used with %s where destinations share listeners: name destinations that do not", t.Kind)
 				}
 			}
 			for _, x := range t.Destinations {
 				if x < 0 || x >= n {
 					bad(at+"destinations", "%d is not there: they go from 0 to %d", x, n-1)
-				} else if (t.Kind == Refuse || t.Kind == Drain) && s.group(x).Listeners > 0 {
+				} else if (t.Kind == RefuseConnections || t.Kind == Drain) && s.group(x).SharedListeners > 0 {
 					bad(at+"destinations", "%d shares its listener, which %s would take from others: set listeners to 0", x, t.Kind)
 				}
 			}
@@ -184,7 +184,7 @@
 }
 
 // group is the group that a destination belongs to.
-func (s *Scenario) group(dest int) Destinations {
+func (s *Scenario) group(dest int) DestinationGroup {
 	for _, g := range s.Groups {
 		if dest < g.Count {
 			return g
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -42,7 +42,7 @@
 	}
 	text, err := os.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) && !strings.ContainsAny(name, "/.") {
-		return nil, fmt.Errorf("no scenario %q: did you mean %q? \"lab list\" names all", name, Nearest(name, Shipped()))
+		return nil, fmt.Errorf("no scenario %q: did you mean %q? \"lab list\" names all", name, ClosestMatch(name, Shipped()))
 	}
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	if toml.Unmarshal(text, &first) == nil && first.Extends != "" { // text that cannot be read is told below
 		if !slices.Contains(Shipped(), first.Extends) || first.Extends == strings.TrimSuffix(path.Base(file), ".toml") {
 			return nil, fmt.Errorf("%s: extends: no shipped scenario %q: did you mean %q?", file, first.Extends,
-				Nearest(first.Extends, Shipped()))
+				ClosestMatch(first.Extends, Shipped()))
 		}
 		var err error
 		if base, err = Open(first.Extends); err != nil {
@@ -79,7 +79,7 @@
 		for _, e := range strict.Errors {
 			row, _ := e.Position()
 			all = append(all, fmt.Errorf("%s:%d: unknown key %s: did you mean %s?", file, row, strings.Join(e.Key(), "."),
-				Nearest(e.Key()[len(e.Key())-1], keysAt(e.Key()))))
+				ClosestMatch(e.Key()[len(e.Key())-1], keysAt(e.Key()))))
 		}
 		return nil, errors.Join(all...)
 	case errors.As(err, &odd):
@@ -111,8 +111,8 @@
 	}
 }
 
-// Nearest is the word of a list that takes the fewest changes of letters.
-func Nearest(word string, list []string) string {
+// ClosestMatch is the word of a list that takes the fewest changes of letters.
+func ClosestMatch(word string, list []string) string {
 	return slices.MinFunc(list, func(a, b string) int {
 		return levenshtein.ComputeDistance(word, a) - levenshtein.ComputeDistance(word, b)
 	})
@@ -143,11 +143,11 @@
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, Length: 10,
-		Dispatchers: Dispatchers{Count: 2, Slots: 32, Held: 400, Pushes: 8, Tick: 0.005, Dial: 1.5, Grace: 0.5, Cores: 1,
+		Dispatchers: Dispatchers{Count: 2, MaxCalls: 32, MaxHeld: 400, MaxPushes: 8, TickInterval: 0.005, DialTimeout: 1.5, DrainGrace: 0.5, Cores: 1,
 			MemoryMB: 192, Sockets: 1024, DiskMB: 3},
-		Returns: Returns{ColdFrom: 0.25, ColdSpan: 4, Multiple: 2, Fall: 1.5},
-		Load: Load{Rate: 100, Clients: 4, ClumpSize: 10, Keys: 50, Body: 200, Retries: 3, RetryWait: 0.5, FrontLearns: 1,
-			LateBound: 0.05},
+		Recovery: Recovery{InitialCapacity: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5},
+		Load: Load{Rate: 100, Clients: 4, BurstSize: 10, Keys: 50, BodyBytes: 200, MaxRetries: 3, RetryDelay: 0.5, FailureDetectionDelay: 1,
+			MaxLateness: 0.05},
 	}
 }
 
@@ -162,9 +162,9 @@
 		t := &s.Topics[i]
 		or(&t.Benefit, 1)
 		or(&t.Share, 1)
-		or(&t.Memory, 12)
-		if t.Group == "" {
-			t.Group = GroupAll
+		or(&t.DedupWindow, 12)
+		if t.DedupScope == "" {
+			t.DedupScope = DedupScopeAll
 		}
 	}
 	if len(s.Tenants) == 0 {
@@ -175,28 +175,28 @@
 	}
 	for i := range s.Kinds {
 		k := &s.Kinds[i]
-		k.Batch = max(k.Batch, 1)
-		if k.Limit == "" {
-			k.Limit = NoLimit
+		k.BatchSize = max(k.BatchSize, 1)
+		if k.LimitKind == "" {
+			k.LimitKind = NoLimit
 		}
-		if k.Queue == 0 {
-			k.Queue = 20
+		if k.QueueLength == 0 {
+			k.QueueLength = 20
 		}
-		or(&k.Window, 1)
-		or(&k.Wait, 0.3)
-		or(&k.Idle, 15)
+		or(&k.LimitWindow, 1)
+		or(&k.MinToldWait, 0.3)
+		or(&k.IdleTimeout, 15)
 	}
 	for i := range s.Groups {
 		g := &s.Groups[i]
 		g.Endpoints = max(g.Endpoints, 1)
-		if g.Spread == "" {
-			g.Spread = Even
+		if g.Distribution == "" {
+			g.Distribution = EvenShares
 		}
-		or(&g.Exponent, 1)
+		or(&g.ZipfExponent, 1)
 		or(&g.Share, 1)
-		or(&g.Room, 1.5)
-		or(&g.LeastRate, 5)
-		or(&g.Service, 0.02)
+		or(&g.CapacityFactor, 1.5)
+		or(&g.MinRate, 5)
+		or(&g.ServiceTime, 0.02)
 	}
 	for i := range s.Troubles {
 		t := &s.Troubles[i]
@@ -205,8 +205,8 @@
 		if t.Kind == Drain || t.Kind == Kill || t.Kind == Restart {
 			or(&t.Wait, 1)
 		}
-		if t.Kind == Series {
-			t.Times = max(t.Times, 1)
+		if t.Kind == SignalSeries {
+			t.SignalCount = max(t.SignalCount, 1)
 		}
 		if t.Count == 0 {
 			t.Count = 1
@@ -222,9 +222,9 @@
 	return os.ReadFile(name)
 }
 
-// Change plays a scenario with another length, load, or closed loop; 0 leaves each as it is. Troubles beyond the length
+// Override plays a scenario with another length, load, or closed loop; 0 leaves each as it is. Troubles beyond the length
 // are left out.
-func (s *Scenario) Change(length, rate float64, closed int) error {
+func (s *Scenario) Override(length, rate float64, closed int) error {
 	if length > 0 {
 		s.Length = length
 		s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool { return t.At > length })
@@ -233,7 +233,7 @@
 		s.Load.Rate = rate
 	}
 	if closed > 0 {
-		s.Load.Closed = closed
+		s.Load.ClosedLoop = closed
 	}
 	return errors.Join(check(s)...)
 }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -63,7 +63,7 @@
 	fmt.Println(same, len(a) == len(c) && a[0] == c[0], len(a) > 800 && len(a) < 1150)
 	w := scenario.NewWorld(s)
 	for _, e := range w.Partners[0].Endpoints {
-		fmt.Printf("%s number %d, from %.1f, drains %.1f, goes %.1f\n", e.ID, e.Number, e.Born, e.Drains, e.Goes)
+		fmt.Printf("%s number %d, from %.1f, drains %.1f, goes %.1f\n", e.ID, e.Number, e.AddedAt, e.DrainsAt, e.RemovedAt)
 	}
 	// Output:
 	// true false true
@@ -90,7 +90,7 @@
 	s, _ := scenario.Open("outage")
 	w := scenario.NewWorld(s)
 	for _, at := range []float64{1, 3, 4.5, 6.5, 8.5, 10} {
-		fmt.Printf("%.1f: down %v, %.3f\n", at, w.Down(0, at), w.Warmth(0, at))
+		fmt.Printf("%.1f: down %v, %.3f\n", at, w.InOutage(0, at), w.CapacityShare(0, at))
 	}
 	// Output:
 	// 1.0: down false, 1.000
--- a/lab/scenario/world.go
+++ b/lab/scenario/world.go
@@ -17,27 +17,27 @@
 
 // Partner is a destination with its endpoints.
 type Partner struct {
-	Dest      int
-	Kind      Kind
-	Share     float64 // of all notifications
-	Rate      float64 // calls a second that it can take once warm
-	Service   float64 // median time of a call
-	Spread    float64 // sigma of its logarithm
-	Slots     int     // calls that one endpoint serves at once
-	Endpoints []Endpoint
+	Dest             int
+	Kind             Kind
+	Share            float64 // of all notifications
+	Rate             float64 // calls a second that it can take once warm
+	ServiceTime      float64 // median time of a call
+	ServiceSigma     float64 // sigma of its logarithm
+	SlotsPerEndpoint int     // calls that one endpoint serves at once
+	Endpoints        []Endpoint
 }
 
 // Endpoint is one of a destination's servers. Endpoints of the same Listener share an address.
 type Endpoint struct {
-	ID       string
-	Dest     int
-	Number   int // within its destination; the one that takes its place has the same
-	Zone     string
-	Index    int // among all that its destination has in the run
-	Listener int
-	Born     float64 // it is there from this moment on
-	Drains   float64 // the drain begins; 0: never
-	Goes     float64 // and ends
+	ID        string
+	Dest      int
+	Number    int // within its destination; the one that takes its place has the same
+	Zone      string
+	Index     int // among all that its destination has in the run
+	Listener  int
+	AddedAt   float64 // it is there from this moment on
+	DrainsAt  float64 // the drain begins; 0: never
+	RemovedAt float64 // and ends
 }
 
 // Zones are those in which a destination's endpoints stand, in turn.
@@ -49,13 +49,13 @@
 	Dests map[int]bool
 }
 
-// Hits tells whether a fault of a kind concerns an endpoint at a moment.
-func (f *Fault) Hits(kind string, now float64, e Endpoint) bool {
-	return f.Kind == kind && now >= f.At && now < f.End() && f.Of(e)
+// ActiveOn tells whether a fault of a kind concerns an endpoint at a moment.
+func (f *Fault) ActiveOn(kind string, now float64, e Endpoint) bool {
+	return f.Kind == kind && now >= f.At && now < f.End() && f.AppliesTo(e)
 }
 
-// Of tells whether it concerns an endpoint at all.
-func (f *Fault) Of(e Endpoint) bool {
+// AppliesTo tells whether it concerns an endpoint at all.
+func (f *Fault) AppliesTo(e Endpoint) bool {
 	return f.Dests[e.Dest] && (f.Endpoint == 0 || f.Endpoint == e.Number+1)
 }
 
@@ -80,16 +80,16 @@
 		kind := s.Kinds[slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == g.Kind })]
 		shares := g.shares()
 		for i, share := range shares {
-			p := Partner{Dest: len(w.Partners), Kind: kind, Share: share * g.Share / groups, Spread: g.ServiceSpread,
-				Service: g.Service * math.Exp(g.PaceSpread*paces.NormFloat64())}
-			p.Rate = max(g.LeastRate, g.Room*p.Share*s.Load.Rate)
-			mean := p.Service * math.Exp(p.Spread*p.Spread/2)
-			p.Slots = int(math.Ceil(p.Rate*mean/float64(g.Endpoints))) + 1
+			p := Partner{Dest: len(w.Partners), Kind: kind, Share: share * g.Share / groups, ServiceSigma: g.ServiceSigma,
+				ServiceTime: g.ServiceTime * math.Exp(g.MedianSigma*paces.NormFloat64())}
+			p.Rate = max(g.MinRate, g.CapacityFactor*p.Share*s.Load.Rate)
+			mean := p.ServiceTime * math.Exp(p.ServiceSigma*p.ServiceSigma/2)
+			p.SlotsPerEndpoint = int(math.Ceil(p.Rate*mean/float64(g.Endpoints))) + 1
 			for n := range g.Endpoints {
 				e := Endpoint{ID: fmt.Sprintf("e%d-%d", p.Dest, n), Dest: p.Dest, Number: n, Index: n, Zone: Zones[n%len(Zones)],
 					Listener: listeners + n}
-				if g.Listeners > 0 {
-					e.Listener += i % g.Listeners * g.Endpoints
+				if g.SharedListeners > 0 {
+					e.Listener += i % g.SharedListeners * g.Endpoints
 				} else {
 					e.Listener += i * g.Endpoints
 				}
@@ -97,7 +97,7 @@
 			}
 			w.Partners = append(w.Partners, p)
 		}
-		if n := g.Listeners; n > 0 {
+		if n := g.SharedListeners; n > 0 {
 			listeners += min(n, g.Count) * g.Endpoints
 		} else {
 			listeners += g.Count * g.Endpoints
@@ -105,7 +105,7 @@
 	}
 	picks := s.random(forPicks)
 	for _, t := range s.Troubles {
-		if t.OfPartners() {
+		if t.AffectsPartners() {
 			w.Faults = append(w.Faults, Fault{t, w.pick(t, picks)})
 		}
 	}
@@ -123,12 +123,12 @@
 	for i := range w.Partners {
 		p := &w.Partners[i]
 		for n, e := range p.Endpoints {
-			if e.Goes > 0 || e.Born > f.At || !f.Of(e) {
+			if e.RemovedAt > 0 || e.AddedAt > f.At || !f.AppliesTo(e) {
 				continue
 			}
-			p.Endpoints[n].Drains, p.Endpoints[n].Goes = f.At, f.At+f.Wait
+			p.Endpoints[n].DrainsAt, p.Endpoints[n].RemovedAt = f.At, f.At+f.Wait
 			next := Endpoint{ID: fmt.Sprintf("e%d-%d", p.Dest, len(p.Endpoints)), Dest: p.Dest, Number: e.Number, Zone: e.Zone,
-				Index: len(p.Endpoints), Listener: listeners, Born: f.At}
+				Index: len(p.Endpoints), Listener: listeners, AddedAt: f.At}
 			p.Endpoints = append(p.Endpoints, next)
 			listeners++
 		}
@@ -136,17 +136,19 @@
 	return listeners
 }
 
-// Shared tells whether an endpoint's listener stands for others too.
-func (w *World) Shared(e Endpoint) bool { return e.Born == 0 && w.group(e.Dest).Listeners > 0 }
+// SharesListener tells whether an endpoint's listener stands for others too.
+func (w *World) SharesListener(e Endpoint) bool {
+	return e.AddedAt == 0 && w.group(e.Dest).SharedListeners > 0
+}
 
 // shares are how a group's destinations share its traffic, 1 in all.
-func (g Destinations) shares() []float64 {
+func (g DestinationGroup) shares() []float64 {
 	list, sum := make([]float64, g.Count), 0.0
 	for i := range list {
-		switch g.Spread {
-		case Zipf:
-			list[i] = math.Pow(float64(i+1), -g.Exponent)
-		case Listed:
+		switch g.Distribution {
+		case ZipfShares:
+			list[i] = math.Pow(float64(i+1), -g.ZipfExponent)
+		case ListedShares:
 			list[i] = g.Shares[i]
 		default:
 			list[i] = 1
@@ -186,30 +188,30 @@
 	return chosen
 }
 
-// Warmth is the share of its capacity that a destination has at a moment: less than 1 for a while after an outage.
+// CapacityShare is the share of its capacity that a destination has at a moment: less than 1 for a while after an outage.
 // During one it is that of its first moment back.
-func (w *World) Warmth(dest int, now float64) float64 {
+func (w *World) CapacityShare(dest int, now float64) float64 {
 	warmth, latest := 1.0, math.Inf(-1)
 	for i := range w.Faults {
 		f := &w.Faults[i]
-		if !f.Outage() || f.Warm || !f.Dests[dest] || f.Endpoint > 0 || now < f.At || f.At < latest {
+		if !f.CausesOutage() || f.ReturnsWarm || !f.Dests[dest] || f.Endpoint > 0 || now < f.At || f.At < latest {
 			continue
 		}
 		latest = f.At
-		warmth = min(1, w.Returns.ColdFrom+(1-w.Returns.ColdFrom)*max(0, now-f.End())/w.Returns.ColdSpan)
+		warmth = min(1, w.Recovery.InitialCapacity+(1-w.Recovery.InitialCapacity)*max(0, now-f.End())/w.Recovery.WarmUp)
 	}
 	return warmth
 }
 
-// Down tells whether a destination has an outage at a moment.
-func (w *World) Down(dest int, now float64) bool {
+// InOutage tells whether a destination has an outage at a moment.
+func (w *World) InOutage(dest int, now float64) bool {
 	return slices.ContainsFunc(w.Faults, func(f Fault) bool {
-		return f.Outage() && f.Endpoint == 0 && f.Dests[dest] && now >= f.At && now < f.End()
+		return f.CausesOutage() && f.Endpoint == 0 && f.Dests[dest] && now >= f.At && now < f.End()
 	})
 }
 
-// Listed is a destination's rate as the list tells it.
-func (p *Partner) Listed() float64 { return math.Round(p.Rate*100) / 100 }
+// ListedRate is a destination's rate as the list tells it.
+func (p *Partner) ListedRate() float64 { return math.Round(p.Rate*100) / 100 }
 
 // Arrival is one notification of the plan.
 type Arrival struct {
@@ -239,8 +241,8 @@
 	byTopic, byTenant, byDest := sums(topics), sums(tenants), sums(dests)
 	keys := max(1, w.Load.Keys/len(w.Partners))
 	l := w.Load
-	events := l.Rate * (1 - l.Clumps + l.Clumps/float64(l.ClumpSize)) // a clump is one event
-	clump := l.Clumps / float64(l.ClumpSize) / (1 - l.Clumps + l.Clumps/float64(l.ClumpSize))
+	events := l.Rate * (1 - l.BurstShare + l.BurstShare/float64(l.BurstSize)) // a clump is one event
+	clump := l.BurstShare / float64(l.BurstSize) / (1 - l.BurstShare + l.BurstShare/float64(l.BurstSize))
 	var list []Arrival
 	add := func(at float64, dest, client, tenant int) {
 		a := Arrival{At: at, Dest: dest, Client: client, Tenant: tenant, Topic: byTopic.draw(chance)}
@@ -251,25 +253,25 @@
 	}
 	const least = 1e-3 // of the rate: where the factor is 0 the plan looks again soon
 	for at := 0.0; ; {
-		factor := w.Factor(at)
+		factor := w.LoadFactor(at)
 		at += min(chance.ExpFloat64()/(events*max(factor, least)), 0.1)
 		if at >= w.Length {
 			break
 		}
-		if factor == 0 || w.Factor(at) == 0 {
+		if factor == 0 || w.LoadFactor(at) == 0 {
 			continue
 		}
 		dest, client, tenant := byDest.draw(chance), chance.IntN(l.Clients), byTenant.draw(chance)
 		n := 1
 		if chance.Float64() < clump {
-			n = l.ClumpSize
+			n = l.BurstSize
 		}
 		for range n {
 			add(at, dest, client, tenant)
 		}
 	}
 	for _, t := range w.Troubles {
-		if t.Kind == Hot {
+		if t.Kind == HotClient {
 			for at := t.At; ; {
 				if at += chance.ExpFloat64() / (l.Rate * t.Factor); at >= min(t.End(), w.Length) {
 					break
@@ -282,10 +284,10 @@
 	return list
 }
 
-// Factor is how many times the usual the load is at a moment.
-func (w *World) Factor(now float64) float64 {
+// LoadFactor is how many times the usual the load is at a moment.
+func (w *World) LoadFactor(now float64) float64 {
 	factor, ramp := 1.0, w.Load.Ramp
-	if i := slices.IndexFunc(ramp, func(p Point) bool { return p.At > now }); len(ramp) > 0 {
+	if i := slices.IndexFunc(ramp, func(p RampPoint) bool { return p.At > now }); len(ramp) > 0 {
 		switch {
 		case i == 0:
 			factor = ramp[0].Factor
@@ -322,27 +324,27 @@
 	return min(i, len(c)-1)
 }
 
-// Learned is how much later than it happens the list tells what becomes of an endpoint.
-func (w *World) Learned(e Endpoint) float64 {
+// ListDelay is how much later than it happens the list tells what becomes of an endpoint.
+func (w *World) ListDelay(e Endpoint) float64 {
 	for i := range w.Faults {
 		f := &w.Faults[i]
-		if f.Kind == Drain && f.Dests[e.Dest] && (f.At == e.Drains || f.At == e.Born) {
-			return f.Learned
+		if f.Kind == Drain && f.Dests[e.Dest] && (f.At == e.DrainsAt || f.At == e.AddedAt) {
+			return f.ListDelay
 		}
 	}
 	return 0
 }
 
-// Concerns tells whether a trouble of dispatchers is one of this.
-func (t Trouble) Concerns(dispatcher int) bool {
+// AppliesToDispatcher tells whether a trouble of dispatchers is one of this.
+func (t Trouble) AppliesToDispatcher(dispatcher int) bool {
 	return len(t.Dispatchers) == 0 || slices.Contains(t.Dispatchers, dispatcher)
 }
 
-// Idle is when the first kind's idle connections are closed at the latest.
-func (w *World) Idle() float64 {
+// MinIdleTimeout is when the first kind's idle connections are closed at the latest.
+func (w *World) MinIdleTimeout() float64 {
 	least := math.Inf(1)
 	for _, k := range w.Kinds {
-		least = min(least, k.Idle)
+		least = min(least, k.IdleTimeout)
 	}
 	return least
 }
--- a/lab/soak/answers.go
+++ b/lab/soak/answers.go
@@ -21,21 +21,21 @@
 )
 
 // shape writes an answer's head and body anew.
-func (a *answers) shape(head, body []byte) partner.Shaped {
+func (a *answers) shape(head, body []byte) partner.EncodedResponse {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	var s partner.Shaped
+	var s partner.EncodedResponse
 	text := &bytes.Buffer{}
 	if a.chance.Float64() < interimShare {
 		text.WriteString("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 	}
-	s.First = text.Len() + bytes.IndexByte(head, '\n') + 1
+	s.StatusLineEnd = text.Len() + bytes.IndexByte(head, '\n') + 1
 	text.Write(head)
 	switch x := a.chance.Float64(); {
 	case x < untilCloseShare:
 		text.WriteString("\r\n")
 		text.Write(body)
-		s.Close = true
+		s.CloseDelimited = true
 	case x < untilCloseShare+chunkedShare:
 		text.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 		for len(body) > 0 {
@@ -51,10 +51,10 @@
 	default:
 		fmt.Fprintf(text, "Content-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	s.Text = text.Bytes()
+	s.Bytes = text.Bytes()
 	if a.chance.Float64() < cutAnswers {
-		s.Cut, s.Reset = 1+a.chance.IntN(len(s.Text)), a.chance.IntN(2) == 0
-		s.Cut = min(s.Cut, len(s.Text)-1)
+		s.TruncateAt, s.ResetAfterTruncation = 1+a.chance.IntN(len(s.Bytes)), a.chance.IntN(2) == 0
+		s.TruncateAt = min(s.TruncateAt, len(s.Bytes)-1)
 	}
 	return s
 }
--- a/lab/soak/leaving.go
+++ b/lab/soak/leaving.go
@@ -31,16 +31,16 @@
 	}
 	last := map[int]string{}
 	var order []int
-	l.journal.Change(func() {
-		for _, x := range l.journal.Lives {
+	l.journal.WithLock(func() {
+		for _, x := range l.journal.ProcessEvents {
 			if last[x.Dispatcher] == "" {
 				order = append(order, x.Dispatcher)
 			}
-			last[x.Dispatcher] = x.What
+			last[x.Dispatcher] = x.Kind
 		}
 	})
 	for _, d := range order {
-		if last[d] == record.Termed {
+		if last[d] == record.TerminateSent {
 			return d, true
 		}
 	}
--- a/lab/soak/machine.go
+++ b/lab/soak/machine.go
@@ -24,9 +24,9 @@
 	stepVariable   = "ORCHIDDRIFT_SOAK_STEPS"  // the wall clock's steps: "no" for none
 )
 
-// Child runs a dispatcher on a machine that fails as the variables say. What fails, and when, follows from the seed, the
+// RunFaultyDispatcher runs a dispatcher on a machine that fails as the variables say. What fails, and when, follows from the seed, the
 // dispatcher's name and how often it was started.
-func Child(getenv func(string) string, logs dispatcher.LogOptions) error {
+func RunFaultyDispatcher(getenv func(string) string, logs dispatcher.LogOptions) error {
 	start, err := countStart(filepath.Join(getenv(folderVariable), getenv("ROUTER_NAME")+".starts"))
 	if err != nil {
 		return err
--- a/lab/soak/overlaps.go
+++ b/lab/soak/overlaps.go
@@ -17,9 +17,9 @@
 type Overlaps map[Pair]int
 
 // kinds are all that a plan may draw.
-var kinds = []string{scenario.Kill, scenario.Restart, scenario.Stall, scenario.Series, scenario.ListDown, scenario.ListSlow, scenario.Move,
-	scenario.Drain, scenario.Hang, scenario.Refuse, scenario.Shut, scenario.Limit, scenario.Surge, scenario.Errors, scenario.Lost,
-	scenario.Reset, scenario.Reused, scenario.Late, scenario.Cut, scenario.Spoil, scenario.Close}
+var kinds = []string{scenario.Kill, scenario.Restart, scenario.Stall, scenario.SignalSeries, scenario.ListDown, scenario.ListSlow, scenario.MoveAgent,
+	scenario.Drain, scenario.Hang, scenario.RefuseConnections, scenario.RejectAll, scenario.ChangeLimit, scenario.Surge, scenario.FailCalls, scenario.LoseAnswers,
+	scenario.ResetConnections, scenario.BreakReused, scenario.LateAnswers, scenario.TruncateAnswers, scenario.CorruptAnswers, scenario.CloseAfterAnswer}
 
 func pairOf(a, b string) Pair { return Pair{min(a, b), max(a, b)} }
 
@@ -27,8 +27,8 @@
 func lasts(t scenario.Trouble) float64 {
 	switch t.Kind {
 	case scenario.Kill, scenario.Restart, scenario.Drain:
-		return t.At + max(t.For, t.Wait)
-	case scenario.Move:
+		return t.At + max(t.Duration, t.Wait)
+	case scenario.MoveAgent:
 		return t.At + 1
 	}
 	return t.End()
@@ -54,11 +54,11 @@
 	}
 }
 
-// Never lists the pairs that were not on together, of all that a plan may draw.
-func (o Overlaps) Never() (list []string) {
+// Missing lists the pairs that were not on together, of all that a plan may draw.
+func (o Overlaps) Missing() (list []string) {
 	for i, a := range kinds {
 		for _, b := range kinds[:i+1] {
-			if pair := pairOf(a, b); o[pair] == 0 && a != scenario.Move {
+			if pair := pairOf(a, b); o[pair] == 0 && a != scenario.MoveAgent {
 				list = append(list, pair.A+" with "+pair.B)
 			}
 		}
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -28,7 +28,7 @@
 // Plan is what a seed plays.
 type Plan struct {
 	*scenario.Scenario
-	Crowd []int // the dispatchers that a crowd of idle clients comes to
+	FloodedDispatchers []int // the dispatchers that a crowd of idle clients comes to
 }
 
 // plan makes the scenario of a seed: the same one for the same seed and length.
@@ -46,17 +46,17 @@
 	if wide {
 		d.Count = min(d.Count, wideMost)
 	}
-	d.KeyRest = []float64{0, 0.2, 0.5}[chance.IntN(3)]
-	d.Slots = 4 + chance.IntN(20)
+	d.KeyCooldown = []float64{0, 0.2, 0.5}[chance.IntN(3)]
+	d.MaxCalls = 4 + chance.IntN(20)
 	s.Load.Rate = perDispatcher * float64(d.Count)
-	s.Load.Clients, s.Load.Keys, s.Load.LateBound = 8, 20+chance.IntN(60), 1
+	s.Load.Clients, s.Load.Keys, s.Load.MaxLateness = 8, 20+chance.IntN(60), 1
 	for i := range s.Topics {
 		t := &s.Topics[i]
 		t.TTL = 2.5 + 4*chance.Float64()
 		t.Objective = min(t.Objective, t.TTL/3)
 		if t.Repeat == scenario.Collapsible {
-			t.Memory = 1 + min(2, t.TTL-2)*chance.Float64() // repeats are forgotten while there is time for one
-			t.Group = []string{scenario.GroupAll, scenario.GroupZone}[chance.IntN(2)]
+			t.DedupWindow = 1 + min(2, t.TTL-2)*chance.Float64() // repeats are forgotten while there is time for one
+			t.DedupScope = []string{scenario.DedupScopeAll, scenario.DedupScopeZone}[chance.IntN(2)]
 		}
 	}
 	for range int(math.Ceil(troublesPerSecond * length)) {
@@ -67,19 +67,19 @@
 	}
 	if wide { // last: troubles are of the destinations that have listeners of their own
 		group := s.Groups[len(s.Groups)-1]
-		group.Count, group.Endpoints, group.Listeners, group.Share, group.Spread = wideDestinations, wideEndpoints, wideListeners, wideShare, scenario.Even
+		group.Count, group.Endpoints, group.SharedListeners, group.Share, group.Distribution = wideDestinations, wideEndpoints, wideListeners, wideShare, scenario.EvenShares
 		s.Groups = append(s.Groups, group)
 	}
 	moved := false
 	s.Troubles = slices.DeleteFunc(s.Troubles, func(t scenario.Trouble) bool { // an agent moves once
-		again := t.Kind == scenario.Move && moved
-		moved = moved || t.Kind == scenario.Move
+		again := t.Kind == scenario.MoveAgent && moved
+		moved = moved || t.Kind == scenario.MoveAgent
 		return again
 	})
 	p := &Plan{Scenario: s}
 	if seed%crowdEvery == 1 {
 		d.Sockets = crowdSockets
-		p.Crowd = chance.Perm(d.Count)[:1+chance.IntN(3)]
+		p.FloodedDispatchers = chance.Perm(d.Count)[:1+chance.IntN(3)]
 	}
 	return p, nil
 }
@@ -95,7 +95,7 @@
 
 // trouble draws one trouble.
 func trouble(s *scenario.Scenario, chance *rand.Rand) scenario.Trouble {
-	t := scenario.Trouble{At: quietStart + chance.Float64()*(s.Length-quietStart), For: 0.3 + 2.5*chance.Float64()}
+	t := scenario.Trouble{At: quietStart + chance.Float64()*(s.Length-quietStart), Duration: 0.3 + 2.5*chance.Float64()}
 	ofDispatchers := func(most int) {
 		n := 1 + chance.IntN(most)
 		t.Dispatchers = chance.Perm(s.Dispatchers.Count)[:min(n, s.Dispatchers.Count)]
@@ -110,10 +110,10 @@
 		t.Kind, t.Wait = scenario.Restart, 0.2+0.6*chance.Float64()
 		ofDispatchers(third)
 	case 4:
-		t.Kind, t.For = scenario.Stall, 0.15*chance.Float64()
+		t.Kind, t.Duration = scenario.Stall, 0.15*chance.Float64()
 		ofDispatchers(third)
 	case 5:
-		t.Kind, t.For = scenario.Stall, 0.5+2*chance.Float64()
+		t.Kind, t.Duration = scenario.Stall, 0.5+2*chance.Float64()
 		ofDispatchers(3)
 	case 6:
 		t.Kind = scenario.ListDown
@@ -122,31 +122,31 @@
 		t.Kind, t.Factor = scenario.ListSlow, 0.3+1.5*chance.Float64()
 		ofDispatchers(s.Dispatchers.Count)
 	case 8:
-		t.Kind = scenario.Move
+		t.Kind = scenario.MoveAgent
 		ofDispatchers(s.Dispatchers.Count)
 	case 9, 10:
-		t.Kind, t.Wait, t.Learned = scenario.Drain, 0.8+chance.Float64(), 0.5*chance.Float64()
+		t.Kind, t.Wait, t.ListDelay = scenario.Drain, 0.8+chance.Float64(), 0.5*chance.Float64()
 		ofPartners()
 	case 11:
-		t.Kind, t.For = scenario.Hang, t.For+1
+		t.Kind, t.Duration = scenario.Hang, t.Duration+1
 		t.Endpoint = 1
 		ofPartners()
 	case 12:
 		t.Kind = scenario.Hang
 		ofPartners()
 	case 13:
-		t.Kind = scenario.Refuse
+		t.Kind = scenario.RefuseConnections
 		ofPartners()
 	case 14:
-		t.Kind, t.Tell = scenario.Shut, chance.IntN(2) == 0
+		t.Kind, t.Announced = scenario.RejectAll, chance.IntN(2) == 0
 		ofPartners()
 	case 15:
-		t.Kind, t.Factor, t.Tell = scenario.Limit, 0.3+0.4*chance.Float64(), chance.IntN(2) == 0
+		t.Kind, t.Factor, t.Announced = scenario.ChangeLimit, 0.3+0.4*chance.Float64(), chance.IntN(2) == 0
 		ofPartners()
 	case 16:
 		t.Kind, t.Factor = scenario.Surge, 1.5+chance.Float64()
 	default:
-		kinds := []string{scenario.Errors, scenario.Lost, scenario.Reset, scenario.Reused, scenario.Late, scenario.Cut, scenario.Spoil, scenario.Close}
+		kinds := []string{scenario.FailCalls, scenario.LoseAnswers, scenario.ResetConnections, scenario.BreakReused, scenario.LateAnswers, scenario.TruncateAnswers, scenario.CorruptAnswers, scenario.CloseAfterAnswer}
 		t.Kind, t.Share = kinds[chance.IntN(len(kinds))], 0.1+0.4*chance.Float64()
 		ofPartners()
 	}
@@ -157,13 +157,13 @@
 // signal comes, so that calls are out, refuse connections for some of the lives that follow, and then are back.
 func series(s *scenario.Scenario, chance *rand.Rand) []scenario.Trouble {
 	const least, most = 3, 7
-	t := scenario.Trouble{Kind: scenario.Series, Times: least + chance.IntN(most-least+1), For: 2 + 2.5*chance.Float64()}
-	t.At = quietStart + hangsBefore + chance.Float64()*max(0, s.Length-quietStart-hangsBefore-t.For)
+	t := scenario.Trouble{Kind: scenario.SignalSeries, SignalCount: least + chance.IntN(most-least+1), Duration: 2 + 2.5*chance.Float64()}
+	t.At = quietStart + hangsBefore + chance.Float64()*max(0, s.Length-quietStart-hangsBefore-t.Duration)
 	t.Dispatchers = chance.Perm(s.Dispatchers.Count)[:1+chance.IntN(max(1, s.Dispatchers.Count/3))]
 	chosen := chance.Perm(destinations(s))[:2+chance.IntN(2)]
-	hangs := scenario.Trouble{Kind: []string{scenario.Hang, scenario.Lost}[chance.IntN(2)], At: t.At - hangsBefore, For: hangsBefore + 0.1,
+	hangs := scenario.Trouble{Kind: []string{scenario.Hang, scenario.LoseAnswers}[chance.IntN(2)], At: t.At - hangsBefore, Duration: hangsBefore + 0.1,
 		Share: 1, Destinations: chosen}
-	refuses := scenario.Trouble{Kind: scenario.Refuse, At: hangs.End(), For: t.For * (0.3 + 0.4*chance.Float64()), Destinations: chosen}
+	refuses := scenario.Trouble{Kind: scenario.RefuseConnections, At: hangs.End(), Duration: t.Duration * (0.3 + 0.4*chance.Float64()), Destinations: chosen}
 	return []scenario.Trouble{t, hangs, refuses}
 }
 
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -147,14 +147,14 @@
 
 // front sends clients through the proxies.
 type front struct {
-	load.Front
+	load.Balancer
 	proxies []*proxy
 	leaving *leaving
 }
 
 // Choose picks a dispatcher, and gives its proxy's address.
 func (f front) Choose(client int, key string, dest, try int) (load.Target, bool) {
-	t, ok := f.Front.Choose(client, key, dest, try)
+	t, ok := f.Balancer.Choose(client, key, dest, try)
 	if d, is := f.leaving.choose(); ok && is && key == "" {
 		t.Dispatcher = d
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -26,33 +26,33 @@
 
 // Options say how a soak is played.
 type Options struct {
-	Command fleet.Command // starts a dispatcher on a machine that fails: Child
-	Keep    string        // a folder for what was seen; "" to throw it away
-	Steps   bool          // wall clocks are stepped
+	Command    fleet.Command // starts a dispatcher on a machine that fails: Child
+	KeepDir    string        // a folder for what was seen; "" to throw it away
+	StepClocks bool          // wall clocks are stepped
 }
 
 // Result is what a seed showed.
 type Result struct {
-	Seed       uint64
-	Dispatcher int      // how many there were
-	Troubles   []string // what was played, in its order
-	Found      []string // what was broken; none where all was kept
-	Rude       int      // visits of clients that misbehave, judged
-	Overlaps   Overlaps // which troubles were on together
-	Endpoints  int      // listed
-	Crowded    bool     // idle clients filled the descriptors of some dispatchers
-	Starved    []string // stalls that nobody played: the machine was too busy for a verdict
+	Seed               uint64
+	DispatcherCount    int      // how many there were
+	Troubles           []string // what was played, in its order
+	Findings           []string // what was broken; none where all was kept
+	MisbehavingClients int      // visits of clients that misbehave, judged
+	Overlaps           Overlaps // which troubles were on together
+	EndpointCount      int      // listed
+	Flooded            bool     // idle clients filled the descriptors of some dispatchers
+	UnplannedStalls    []string // stalls that nobody played: the machine was too busy for a verdict
 	*report.Result
 }
 
-// Play plays a seed for so many seconds of load.
-func Play(ctx context.Context, seed uint64, length float64, o Options) (*Result, error) {
+// Run plays a seed for so many seconds of load.
+func Run(ctx context.Context, seed uint64, length float64, o Options) (*Result, error) {
 	planned, err := plan(seed, length)
 	if err != nil {
 		return nil, err
 	}
 	s := planned.Scenario
-	dir := o.Keep
+	dir := o.KeepDir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "orchiddrift-soak-"); err != nil {
 			return nil, err
@@ -62,40 +62,40 @@
 		return nil, err
 	}
 	steps := "no"
-	if o.Steps {
+	if o.StepClocks {
 		steps = "yes"
 	}
 	command := o.Command
 	command.Env = append(append([]string{}, command.Env...), fmt.Sprint(seedVariable, "=", seed), folderVariable+"="+dir,
 		stepVariable+"="+steps)
-	b := &beside{seed: seed, count: s.Dispatchers.Count, crowded: planned.Crowd}
+	b := &beside{seed: seed, count: s.Dispatchers.Count, crowded: planned.FloodedDispatchers}
 	a := &answers{chance: chanceOf(seed, forAnswers)}
-	r, j, err := lab.Run(ctx, s, lab.Options{Command: command, Keep: dir, Shape: a.shape, Beside: b})
+	r, j, err := lab.Run(ctx, s, lab.Options{Command: command, KeepDir: dir, AnswerShape: a.shape, Hooks: b})
 	if err != nil {
 		return nil, err
 	}
-	result := &Result{Seed: seed, Dispatcher: s.Dispatchers.Count, Result: r, Rude: b.rude.tried}
+	result := &Result{Seed: seed, DispatcherCount: s.Dispatchers.Count, Result: r, MisbehavingClients: b.rude.tried}
 	for _, t := range s.Troubles {
 		result.Troubles = append(result.Troubles, describe(t))
 	}
 	result.Overlaps = overlaps(s)
-	result.Endpoints = endpoints(s)
-	result.Crowded = len(planned.Crowd) > 0
+	result.EndpointCount = endpoints(s)
+	result.Flooded = len(planned.FloodedDispatchers) > 0
 	for _, v := range r.Violations {
-		result.Found = append(result.Found, v.String())
+		result.Findings = append(result.Findings, v.String())
 	}
-	result.Found = append(result.Found, b.rude.found...)
-	result.Found = append(result.Found, starts(j)...)
+	result.Findings = append(result.Findings, b.rude.found...)
+	result.Findings = append(result.Findings, starts(j)...)
 	found, stalls, err := said(dir, s.Dispatchers.Count)
-	result.Found = append(result.Found, found...)
-	result.Starved = unplayed(stalls, s)
+	result.Findings = append(result.Findings, found...)
+	result.UnplannedStalls = unplayed(stalls, s)
 	return result, err
 }
 
 func chanceOf(seed, purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, purpose)) }
 
 func describe(t scenario.Trouble) string {
-	text := fmt.Sprintf("%6.2f s  %-9s for %.2f", t.At, t.Kind, t.For)
+	text := fmt.Sprintf("%6.2f s  %-9s for %.2f", t.At, t.Kind, t.Duration)
 	if len(t.Dispatchers) > 0 {
 		text += fmt.Sprintf(" dispatchers %v", t.Dispatchers)
 	}
@@ -111,9 +111,9 @@
 // starts judges how soon dispatchers were ready.
 func starts(j *record.Journal) []string {
 	begun, late, all := map[int]float64{}, 0, 0
-	j.Change(func() {
-		for _, l := range j.Lives {
-			switch l.What {
+	j.WithLock(func() {
+		for _, l := range j.ProcessEvents {
+			switch l.Kind {
 			case record.Started:
 				begun[l.Dispatcher] = l.At
 			case record.Ready:
@@ -136,7 +136,7 @@
 func unplayed(stalls map[int]float64, s *scenario.Scenario) (list []string) {
 	for i := range s.Dispatchers.Count {
 		played := slices.ContainsFunc(s.Troubles, func(t scenario.Trouble) bool {
-			return (t.Kind == scenario.Stall || t.Kind == scenario.Series) && t.Concerns(i)
+			return (t.Kind == scenario.Stall || t.Kind == scenario.SignalSeries) && t.AppliesToDispatcher(i)
 		})
 		if stalls[i] > starving && !played {
 			list = append(list, fmt.Sprintf("dispatcher %d stood still for %.2f s", i, stalls[i]))
@@ -193,11 +193,11 @@
 	crowded []int
 }
 
-// Begin opens the proxies and lets the clients come.
-func (b *beside) Begin(ctx context.Context, n loop.Network, j *record.Journal, c *loop.Clock, to load.Front) (load.Front, error) {
+// BeforeLoad opens the proxies and lets the clients come.
+func (b *beside) BeforeLoad(ctx context.Context, n loop.Network, j *record.Journal, c *loop.Clock, to load.Balancer) (load.Balancer, error) {
 	ctx, b.over = context.WithCancel(ctx)
 	for i := range b.count {
-		p, err := newProxy(ctx, n.Proxy(i), n.Dispatcher(i), chanceOf(b.seed, forProxies<<32|uint64(i)))
+		p, err := newProxy(ctx, n.ProxyAddr(i), n.DispatcherAddr(i), chanceOf(b.seed, forProxies<<32|uint64(i)))
 		if err != nil {
 			b.over()
 			return nil, fmt.Errorf("proxy: %w", err)
@@ -208,9 +208,9 @@
 		return !slices.Contains(b.crowded, i) && served(j, i, c.Now()-time.Since(from).Seconds(), c.Now()-time.Since(to).Seconds())
 	}
 	for _, i := range b.crowded {
-		go crowd(ctx, n.Dispatcher(i))
+		go crowd(ctx, n.DispatcherAddr(i))
 	}
-	b.rude = rude{addr: n.Dispatcher, count: b.count, up: up, chance: chanceOf(b.seed, forClients)}
+	b.rude = rude{addr: n.DispatcherAddr, count: b.count, up: up, chance: chanceOf(b.seed, forClients)}
 	b.ended = make(chan struct{})
 	go func() {
 		b.rude.run(ctx)
@@ -219,8 +219,8 @@
 	return front{to, b.all, newLeaving(j, b.seed)}, nil
 }
 
-// Over ends both.
-func (b *beside) Over() {
+// AfterLoad ends both.
+func (b *beside) AfterLoad() {
 	b.over()
 	<-b.ended
 	for _, p := range b.all {
@@ -232,8 +232,8 @@
 func served(j *record.Journal, dispatcher int, from, to float64) bool {
 	const settled = 0.5
 	ready := false
-	j.Change(func() {
-		for _, l := range j.Lives {
+	j.WithLock(func() {
+		for _, l := range j.ProcessEvents {
 			if l.Dispatcher != dispatcher || l.At > to {
 				continue
 			}
@@ -241,7 +241,7 @@
 				ready = false
 				return
 			}
-			ready = l.What == record.Ready || l.What == record.Woken
+			ready = l.Kind == record.Ready || l.Kind == record.Resumed
 		}
 	})
 	return ready
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -24,7 +24,7 @@
 	var err error
 	switch role {
 	case "child":
-		err = Child(os.Getenv, dispatcher.LogOptions{Output: os.Stderr, Level: zerolog.InfoLevel})
+		err = RunFaultyDispatcher(os.Getenv, dispatcher.LogOptions{Output: os.Stderr, Level: zerolog.InfoLevel})
 	case "planted":
 		err = planted.Run(os.Getenv, rule)
 	default:
@@ -47,19 +47,19 @@
 // The short form: what a seed plays overlaps, and nothing is broken.
 func TestSoak(t *testing.T) {
 	for _, seed := range shortSeeds {
-		r, err := Play(context.Background(), seed, 6, Options{Command: command("child"), Steps: true})
+		r, err := Run(context.Background(), seed, 6, Options{Command: command("child"), StepClocks: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, text := range r.Found {
-			if len(r.Starved) > 0 {
+		for _, text := range r.Findings {
+			if len(r.UnplannedStalls) > 0 {
 				t.Logf("seed %d, on a machine too busy for a verdict: %s", seed, text)
 				continue
 			}
 			t.Errorf("seed %d: %s", seed, text)
 		}
-		if r.Totals.Taken == 0 || r.Totals.Delivered*2 < r.Totals.Taken || r.Rude == 0 {
-			t.Errorf("seed %d: %d taken on, %d delivered, %d rude clients", seed, r.Totals.Taken, r.Totals.Delivered, r.Rude)
+		if r.Totals.Accepted == 0 || r.Totals.Delivered*2 < r.Totals.Accepted || r.MisbehavingClients == 0 {
+			t.Errorf("seed %d: %d taken on, %d delivered, %d rude clients", seed, r.Totals.Accepted, r.Totals.Delivered, r.MisbehavingClients)
 		}
 	}
 }
@@ -73,9 +73,9 @@
 			t.Fatal(err)
 		}
 		wide = wide || endpoints(p.Scenario) > 3000
-		crowded = crowded || len(p.Crowd) > 0
+		crowded = crowded || len(p.FloodedDispatchers) > 0
 		for _, x := range p.Troubles {
-			if x.Kind == scenario.Series {
+			if x.Kind == scenario.SignalSeries {
 				series++
 			}
 		}
@@ -88,12 +88,12 @@
 // The oracle fails: a dispatcher that forgets some of what it takes on is seen in a soak.
 func TestSoakSees(t *testing.T) {
 	t.Parallel()
-	r, err := Play(context.Background(), 5, 4, Options{Command: command("planted:lost")})
+	r, err := Run(context.Background(), 5, 4, Options{Command: command("planted:lost")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(strings.Join(r.Found, "\n"), "lost at") {
-		t.Errorf("found %q", r.Found)
+	if !strings.Contains(strings.Join(r.Findings, "\n"), "lost at") {
+		t.Errorf("found %q", r.Findings)
 	}
 }
 
@@ -135,8 +135,8 @@
 		t.Error("two seeds made the same troubles")
 	}
 	j := &record.Journal{}
-	j.Life(record.Life{At: 1, What: record.Started})
-	j.Life(record.Life{At: 12, What: record.Ready})
+	j.AddProcessEvent(record.ProcessEvent{At: 1, Kind: record.Started})
+	j.AddProcessEvent(record.ProcessEvent{At: 12, Kind: record.Ready})
 	if len(starts(j)) != 1 {
 		t.Error("a start of 11 s was not told")
 	}
