--- a/lab/partner/conn.go
+++ b/lab/partner/conn.go
@@ -18,104 +18,107 @@
 )
 
 const (
-	mostBody = 1 << 20 // of a call
-	instant  = 1e-4    // an answer due so soon is given at once
-	lateBy   = 0.1     // after the first TTL in a call comes an answer that is late
+	maxBodyBytes      = 1 << 20 // largest request body that is read
+	minDelaySeconds   = 1e-4    // shorter response delays are skipped
+	lateMarginSeconds = 0.1     // a late response is sent this long after the earliest TTL in its call has expired
 )
 
-// conn is a connection of a dispatcher. One goroutine reads, so that its end is seen while a call is served by the other.
+// conn is a connection from a dispatcher. It has a reading and a serving goroutine, so that the end of the connection
+// is detected while a call is being served.
 type conn struct {
 	*net.TCPConn
-	door   *door
-	number int
-	beyond bool // the endpoint holds too many
-	calls  chan *inbound
-	gone   chan struct{} // the other side ended it, or it broke
-	shut   chan struct{} // we ended it
-	once   sync.Once
+	listener   *listener
+	id         int
+	overLimit  bool // above the endpoint's connection limit: answered with 503 and closed
+	calls      chan *inboundCall
+	peerClosed chan struct{} // closed when the reader stops: the peer closed the connection, or reading failed
+	closed     chan struct{} // closed by shutDown
+	closeOnce  sync.Once
 }
 
-// inbound is a call as it came.
-type inbound struct {
-	record *record.Call
-	dest   int
-	odd    bool // it cannot be read
+// inboundCall is a call received on a connection.
+type inboundCall struct {
+	record    *record.Call
+	dest      int
+	malformed bool // the request cannot be parsed, or names a destination that this listener does not serve
 }
 
-func newConn(d *door, c *net.TCPConn, number int) *conn {
-	return &conn{TCPConn: c, door: d, number: number, calls: make(chan *inbound, 1), gone: make(chan struct{}),
-		shut: make(chan struct{})}
+func newConn(l *listener, c *net.TCPConn, id int) *conn {
+	return &conn{TCPConn: c, listener: l, id: id, calls: make(chan *inboundCall, 1), peerClosed: make(chan struct{}),
+		closed: make(chan struct{})}
 }
 
-// end closes the connection.
-func (c *conn) end() {
-	c.once.Do(func() {
-		close(c.shut)
+// shutDown closes the connection and removes it from its listener. It may be called more than once.
+func (c *conn) shutDown() {
+	c.closeOnce.Do(func() {
+		close(c.closed)
 		_ = c.Close()
-		c.door.lock.Lock()
-		delete(c.door.open, c)
-		c.door.lock.Unlock()
+		c.listener.mu.Lock()
+		delete(c.listener.conns, c)
+		c.listener.mu.Unlock()
 	})
 }
 
-// reset ends it as a process that dies does.
+// reset closes the connection with a TCP reset, as the kernel does for a process that dies.
 func (c *conn) reset() {
 	_ = c.SetLinger(0)
-	c.end()
+	c.shutDown()
 }
 
-// read reads calls until the connection ends.
-func (c *conn) read() {
-	defer close(c.gone)
-	in, clock := bufio.NewReaderSize(c, 4<<10), c.door.all.clock
+// readCalls reads calls and passes them to serve until the connection ends.
+func (c *conn) readCalls() {
+	defer close(c.peerClosed)
+	reader, clock := bufio.NewReaderSize(c, 4<<10), c.listener.partners.clock
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	for n := 0; ; n++ {
-		if _, err := in.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		first := clock.Now()
-		if err := req.ReadLimitBody(in, mostBody); err != nil {
-			return // it never came whole
+		firstByteAt := clock.Now()
+		if err := req.ReadLimitBody(reader, maxBodyBytes); err != nil {
+			return // incomplete or oversized request
 		}
-		x := c.inbound(req)
-		x.record.FirstByteAt, x.record.LastByteAt, x.record.Reused = first, clock.Now(), n > 0
+		call := c.parseCall(req)
+		call.record.FirstByteAt, call.record.LastByteAt, call.record.Reused = firstByteAt, clock.Now(), n > 0
 		select {
-		case c.calls <- x:
-		case <-c.shut:
+		case c.calls <- call:
+		case <-c.closed:
 			return
 		}
 	}
 }
 
-// inbound reads what a call is about.
-func (c *conn) inbound(req *fasthttp.Request) *inbound {
-	x := &inbound{record: &record.Call{ConnID: c.number}, dest: -1}
+// parseCall returns the notifications, the destination and the endpoint of a request. A listener that serves a single
+// endpoint determines the destination; otherwise the id of the first notification does.
+func (c *conn) parseCall(req *fasthttp.Request) *inboundCall {
+	call := &inboundCall{record: &record.Call{ConnID: c.id}, dest: -1}
 	switch path := string(req.URI().Path()); {
 	case path == "/hook":
-		x.record.IDs = []string{string(req.Header.Peek("X-Call-Id"))}
+		call.record.IDs = []string{string(req.Header.Peek("X-Call-Id"))}
 	case path == "/hook/batch":
-		var list []struct{ ID string }
-		x.odd = json.Unmarshal(req.Body(), &list) != nil || len(list) == 0
-		for _, l := range list {
-			x.record.IDs = append(x.record.IDs, l.ID)
+		var entries []struct{ ID string }
+		call.malformed = json.Unmarshal(req.Body(), &entries) != nil || len(entries) == 0
+		for _, entry := range entries {
+			call.record.IDs = append(call.record.IDs, entry.ID)
 		}
 	default:
-		x.odd = true
+		call.malformed = true
 	}
-	if len(x.record.IDs) > 0 {
-		x.dest = DestFromID(x.record.IDs[0])
+	if len(call.record.IDs) > 0 {
+		call.dest = DestFromID(call.record.IDs[0])
 	}
-	if only := c.door.only; only != nil {
-		x.dest = only.Dest
+	if only := c.listener.sole; only != nil {
+		call.dest = only.Dest
 	}
-	e, here := c.door.behind[x.dest]
-	x.odd = x.odd || !here
-	x.record.Endpoint, x.record.Dest = e.ID, x.dest
-	return x
+	endpoint, known := c.listener.endpoints[call.dest]
+	call.malformed = call.malformed || !known
+	call.record.Endpoint, call.record.Dest = endpoint.ID, call.dest
+	return call
 }
 
-// DestFromID reads the destination out of an id that the laboratory made, -1 where there is none.
+// DestFromID returns the destination encoded in a notification id of the laboratory (DEST-ORIGIN-TRY), or -1 if the id
+// has another form.
 func DestFromID(id string) int {
 	text, _, _ := strings.Cut(id, "-")
 	dest, err := strconv.Atoi(text)
@@ -125,201 +128,205 @@
 	return dest
 }
 
-// serve answers calls, one after another, until the connection ends.
+// serve answers the calls of a connection one after another until either side closes it or it has been idle for too
+// long.
 func (c *conn) serve() {
-	defer c.end()
-	idle := time.NewTimer(seconds(c.door.kind().IdleTimeout))
+	defer c.shutDown()
+	idle := time.NewTimer(secondsToDuration(c.listener.kind().IdleTimeout))
 	for {
-		var x *inbound
+		var call *inboundCall
 		select {
-		case x = <-c.calls:
+		case call = <-c.calls:
 		case <-idle.C:
 			return
-		case <-c.shut:
+		case <-c.closed:
 			return
-		case <-c.gone:
+		case <-c.peerClosed:
 			select {
-			case x = <-c.calls: // it came, and its caller left at once
+			case call = <-c.calls: // received in full before the peer closed the connection
 			default:
 				return
 			}
 		}
-		if !c.answer(x) {
+		if !c.answer(call) {
 			return
 		}
-		idle.Reset(seconds(c.door.kind().IdleTimeout))
+		idle.Reset(secondsToDuration(c.listener.kind().IdleTimeout))
 	}
 }
 
-// answer does with a call what its partner's behaviour says, and tells whether the connection can go on.
-func (c *conn) answer(x *inbound) bool {
-	all, r := c.door.all, x.record
-	if x.odd {
-		r.Status, r.EndedAt, r.Cause = fasthttp.StatusBadRequest, r.LastByteAt, "unreadable"
-		all.journal.AddCall(r)
-		return c.write(r, behaviour.Outcome{Status: r.Status}, nil)
+// answer handles a call as the destination's behaviour decides, adds it to the journal, and reports whether the
+// connection can be used further.
+func (c *conn) answer(call *inboundCall) bool {
+	partners, rec := c.listener.partners, call.record
+	if call.malformed {
+		rec.Status, rec.EndedAt, rec.Cause = fasthttp.StatusBadRequest, rec.LastByteAt, "unreadable"
+		partners.journal.AddCall(rec)
+		return c.writeResponse(rec, behaviour.Outcome{Status: rec.Status}, nil)
 	}
-	s, e := all.systems[x.dest], c.door.behind[x.dest]
-	s.Lock()
-	before := s.calls[r.IDs[0]]
-	for _, id := range r.IDs {
-		s.calls[id]++
+	dest, endpoint := partners.destinations[call.dest], c.listener.endpoints[call.dest]
+	dest.Lock()
+	earlierCalls := dest.callsByID[rec.IDs[0]]
+	for _, id := range rec.IDs {
+		dest.callsByID[id]++
 	}
-	var fate behaviour.Outcome
-	if c.beyond {
-		fate = behaviour.Outcome{Status: fasthttp.StatusServiceUnavailable, Cause: "too many connections",
-			States: make([]record.PushState, len(r.IDs)), Ran: make([]bool, len(r.IDs))}
-		for i := range fate.States {
-			fate.States[i] = record.Throttled
+	var outcome behaviour.Outcome
+	if c.overLimit {
+		outcome = behaviour.Outcome{Status: fasthttp.StatusServiceUnavailable, Cause: "too many connections",
+			States: make([]record.PushState, len(rec.IDs)), Ran: make([]bool, len(rec.IDs))}
+		for i := range outcome.States {
+			outcome.States[i] = record.Throttled
 		}
 	} else {
-		fate = s.HandleCall(r.LastByteAt, e.Index, behaviour.Call{IDs: r.IDs, Reused: r.Reused, PreviousCalls: before})
+		outcome = dest.HandleCall(rec.LastByteAt, endpoint.Index, behaviour.Call{IDs: rec.IDs, Reused: rec.Reused, PreviousCalls: earlierCalls})
 	}
-	s.Unlock()
-	r.Ran, r.Cause, r.States = fate.Ran, fate.Cause, make([]record.PushState, len(r.IDs))
-	all.journal.AddCall(r)
-	if !r.Reused {
-		fate.Delay += c.door.kind().HandshakeDelay
+	dest.Unlock()
+	rec.Ran, rec.Cause, rec.States = outcome.Ran, outcome.Cause, make([]record.PushState, len(rec.IDs))
+	partners.journal.AddCall(rec)
+	if !rec.Reused {
+		outcome.Delay += c.listener.kind().HandshakeDelay
 	}
-	if fate.End == behaviour.NoAnswer {
-		c.rest(r, nil)
+	if outcome.End == behaviour.NoAnswer {
+		c.awaitDelay(rec, nil)
 		return false
 	}
-	if fate.End == behaviour.AnsweredLate {
-		fate.Delay = max(fate.Delay, all.journal.EarliestExpiry(r.IDs)+lateBy-all.clock.Now())
+	if outcome.End == behaviour.AnsweredLate {
+		outcome.Delay = max(outcome.Delay, partners.journal.EarliestExpiry(rec.IDs)+lateMarginSeconds-partners.clock.Now())
 	}
-	if fate.Delay > instant {
-		timer := time.NewTimer(seconds(fate.Delay))
+	if outcome.Delay > minDelaySeconds {
+		timer := time.NewTimer(secondsToDuration(outcome.Delay))
 		defer timer.Stop()
-		if !c.rest(r, timer.C) {
+		if !c.awaitDelay(rec, timer.C) {
 			return false
 		}
 	}
-	switch fate.End {
+	switch outcome.End {
 	case behaviour.ConnectionReset:
-		all.journal.WithLock(func() { r.EndedAt = all.clock.Now() })
+		partners.journal.WithLock(func() { rec.EndedAt = partners.clock.Now() })
 		c.reset()
 		return false
 	case behaviour.AnswerTruncated, behaviour.AnswerCorrupted:
-		all.journal.WithLock(func() {
-			r.EndedAt = all.clock.Now()
-			for i := range r.States {
-				r.States[i] = record.Unreadable
+		partners.journal.WithLock(func() {
+			rec.EndedAt = partners.clock.Now()
+			for i := range rec.States {
+				rec.States[i] = record.Unreadable
 			}
 		})
-		text := "HTTP/1.1 2\x00\x1f\xff noise that says nothing\r\n"
-		if fate.End == behaviour.AnswerTruncated {
-			text = "HTTP/1.1 500 Broken\r\nContent-Length: 400\r\n\r\nhalf of"
+		response := "HTTP/1.1 2\x00\x1f\xff noise that says nothing\r\n"
+		if outcome.End == behaviour.AnswerTruncated {
+			response = "HTTP/1.1 500 Broken\r\nContent-Length: 400\r\n\r\nhalf of"
 		}
-		_, err := c.Write([]byte(text))
-		if err == nil && fate.End == behaviour.AnswerCorrupted {
-			<-c.either()
+		_, err := c.Write([]byte(response))
+		if err == nil && outcome.End == behaviour.AnswerCorrupted {
+			<-c.closedByEither()
 		}
 		return false
 	case behaviour.AnsweredLate:
-		fate.States = slices.Repeat([]record.PushState{record.Delivered}, len(r.IDs)) // as it reads
-		return c.write(r, fate, func() {})
+		outcome.States = slices.Repeat([]record.PushState{record.Delivered}, len(rec.IDs)) // the response itself says delivered
+		return c.writeResponse(rec, outcome, func() {})
 	}
-	return c.write(r, fate, func() { r.Status, r.ToldWait, r.States = fate.Status, fate.ToldWait, fate.States }) &&
-		!c.beyond && fate.End != behaviour.ClosedAfterAnswer
+	return c.writeResponse(rec, outcome, func() { rec.Status, rec.ToldWait, rec.States = outcome.Status, outcome.ToldWait, outcome.States }) &&
+		!c.overLimit && outcome.End != behaviour.ClosedAfterAnswer
 }
 
-// rest waits for the moment of an answer. It tells whether the connection still stands, and else notes its end.
-func (c *conn) rest(r *record.Call, until <-chan time.Time) bool {
-	all := c.door.all
+// awaitDelay waits until delay fires (nil: never) and reports whether the connection is still open then. If the
+// connection ends first, it records the end in the journal.
+func (c *conn) awaitDelay(rec *record.Call, delay <-chan time.Time) bool {
+	partners := c.listener.partners
 	select {
-	case <-until:
+	case <-delay:
 		select {
-		case <-c.gone:
+		case <-c.peerClosed:
 		default:
 			return true
 		}
-	case <-c.gone:
-	case <-c.shut:
+	case <-c.peerClosed:
+	case <-c.closed:
 	}
-	all.journal.WithLock(func() {
-		r.EndedAt = all.clock.Now()
+	partners.journal.WithLock(func() {
+		rec.EndedAt = partners.clock.Now()
 		select {
-		case <-c.shut:
+		case <-c.closed:
 		default:
-			r.CallerClosed = true
+			rec.CallerClosed = true
 		}
 	})
 	return false
 }
 
-// either is closed once either side has ended the connection.
-func (c *conn) either() <-chan struct{} {
-	ended := make(chan struct{})
+// closedByEither returns a channel that is closed once either side has closed the connection.
+func (c *conn) closedByEither() <-chan struct{} {
+	closed := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(closed)
 		select {
-		case <-c.gone:
-		case <-c.shut:
+		case <-c.peerClosed:
+		case <-c.closed:
 		}
 	}()
-	return ended
+	return closed
 }
 
-// write writes an answer; note is carried out as it goes out.
-func (c *conn) write(r *record.Call, fate behaviour.Outcome, note func()) bool {
+// writeResponse writes the response to a call and reports whether the connection can be used further. onWrite, if not
+// nil, updates the journal's record under the journal's lock before the response is written.
+func (c *conn) writeResponse(rec *record.Call, outcome behaviour.Outcome, onWrite func()) bool {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	resp.Header.SetNoDefaultContentType(true)
-	resp.SetStatusCode(fate.Status)
-	if fate.ToldWait > 0 {
-		resp.Header.Set("Retry-After", strconv.FormatFloat(fate.ToldWait, 'f', 3, 64))
+	resp.SetStatusCode(outcome.Status)
+	if outcome.ToldWait > 0 {
+		resp.Header.Set("Retry-After", strconv.FormatFloat(outcome.ToldWait, 'f', 3, 64))
 	}
-	if fate.HasLoadReport {
-		resp.Header.Set("X-Load-Report", "TEXT x0="+strconv.FormatFloat(fate.LoadShare, 'f', 4, 64)+
-			", x1="+strconv.FormatFloat(fate.LoadLimit, 'f', 3, 64))
+	if outcome.HasLoadReport {
+		resp.Header.Set("X-Load-Report", "TEXT x0="+strconv.FormatFloat(outcome.LoadShare, 'f', 4, 64)+
+			", x1="+strconv.FormatFloat(outcome.LoadLimit, 'f', 3, 64))
 	}
-	if len(r.IDs) > 1 && fate.Status == fasthttp.StatusOK {
+	if len(rec.IDs) > 1 && outcome.Status == fasthttp.StatusOK {
 		type line struct {
 			ID    string           `json:"id"`
 			State record.PushState `json:"state"`
 		}
-		lines := make([]line, len(r.IDs))
-		for i, id := range r.IDs {
-			lines[i] = line{id, fate.States[i]}
+		lines := make([]line, len(rec.IDs))
+		for i, id := range rec.IDs {
+			lines[i] = line{id, outcome.States[i]}
 		}
-		body, _ := json.Marshal(lines) // strings always marshal
+		body, _ := json.Marshal(lines) // marshalling strings cannot fail
 		resp.SetBodyRaw(body)
 	}
-	if c.beyond {
+	if c.overLimit {
 		resp.SetConnectionClose()
 	}
-	text := c.shaped(resp)
-	if note != nil {
-		c.door.all.journal.WithLock(func() {
-			r.EndedAt = c.door.all.clock.Now()
-			if note(); text.TruncateAt > 0 {
-				r.States = cut(r, fate, text)
-				if !waitStands(text) {
-					r.ToldWait = 0
+	encoded := c.encode(resp)
+	if onWrite != nil {
+		c.listener.partners.journal.WithLock(func() {
+			rec.EndedAt = c.listener.partners.clock.Now()
+			if onWrite(); encoded.TruncateAt > 0 {
+				rec.States = statesAfterTruncation(rec, outcome, encoded)
+				if !retryAfterSent(encoded) {
+					rec.ToldWait = 0
 				}
 			}
 		})
 	}
-	if text.TruncateAt == 0 {
-		_, err := c.Write(text.Bytes)
-		return err == nil && !text.CloseDelimited
+	if encoded.TruncateAt == 0 {
+		_, err := c.Write(encoded.Bytes)
+		return err == nil && !encoded.CloseDelimited
 	}
-	_, _ = c.Write(text.Bytes[:text.TruncateAt])
-	if text.ResetAfterTruncation {
+	_, _ = c.Write(encoded.Bytes[:encoded.TruncateAt])
+	if encoded.ResetAfterTruncation {
 		c.reset()
 	}
 	return false
 }
 
-// shaped is an answer's bytes.
-func (c *conn) shaped(resp *fasthttp.Response) EncodedResponse {
-	if c.door.all.shape == nil {
-		text := &bytes.Buffer{}
-		out := bufio.NewWriter(text)
-		_ = resp.Write(out) // a buffer takes all
-		_ = out.Flush()
-		return EncodedResponse{Bytes: text.Bytes()}
+// encode returns the bytes of a response, from the configured encoder or else with a Content-Length.
+func (c *conn) encode(resp *fasthttp.Response) EncodedResponse {
+	if c.listener.partners.encoder == nil {
+		buf := &bytes.Buffer{}
+		w := bufio.NewWriter(buf)
+		_ = resp.Write(w) // writing to a buffer cannot fail
+		_ = w.Flush()
+		return EncodedResponse{Bytes: buf.Bytes()}
 	}
 	var head bytes.Buffer
 	for _, line := range strings.SplitAfter(resp.Header.String(), "\r\n") {
@@ -327,23 +334,25 @@
 			head.WriteString(line)
 		}
 	}
-	return c.door.all.shape(head.Bytes(), resp.Body())
+	return c.listener.partners.encoder(head.Bytes(), resp.Body())
 }
 
-// waitStands tells that the line with a wait has gone out whole before a cut. A reset may take with it what has gone out.
-func waitStands(text EncodedResponse) bool {
-	out := text.Bytes[:text.TruncateAt]
-	_, behind, ok := bytes.Cut(out, []byte("Retry-After: "))
-	return ok && !text.ResetAfterTruncation && bytes.Contains(behind, []byte("\r\n"))
+// retryAfterSent reports whether the Retry-After line of a truncated response was sent in full. After a reset it
+// reports false, because a reset may discard data that the peer has not read yet.
+func retryAfterSent(encoded EncodedResponse) bool {
+	sent := encoded.Bytes[:encoded.TruncateAt]
+	_, rest, ok := bytes.Cut(sent, []byte("Retry-After: "))
+	return ok && !encoded.ResetAfterTruncation && bytes.Contains(rest, []byte("\r\n"))
 }
 
-// cut is what became of the notifications of a call whose answer was cut: one alone is delivered once the first line says
-// so, and of several nothing is told.
-func cut(r *record.Call, fate behaviour.Outcome, text EncodedResponse) []record.PushState {
-	if len(r.IDs) == 1 && fate.Status == fasthttp.StatusOK && text.TruncateAt >= text.StatusLineEnd {
-		return fate.States
+// statesAfterTruncation returns the states of the notifications of a call whose response was truncated. A single
+// notification is delivered once the status line was sent in full; for a batch the response says nothing of use.
+func statesAfterTruncation(rec *record.Call, outcome behaviour.Outcome, encoded EncodedResponse) []record.PushState {
+	if len(rec.IDs) == 1 && outcome.Status == fasthttp.StatusOK && encoded.TruncateAt >= encoded.StatusLineEnd {
+		return outcome.States
 	}
-	return slices.Repeat([]record.PushState{record.Unreadable}, len(r.IDs))
+	return slices.Repeat([]record.PushState{record.Unreadable}, len(rec.IDs))
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// secondsToDuration converts seconds to a time.Duration.
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/lab/partner/partner.go
+++ b/lab/partner/partner.go
@@ -1,5 +1,6 @@
-// Package partner plays the partners' endpoints on loopback sockets: what behaviour decides, it does, and every call
-// goes into the journal with the moment its last byte came.
+// Package partner serves the endpoints of simulated partners on loopback sockets. Package behaviour decides the outcome
+// of each call; this package carries it out and records every call in the journal with the times of its first and last
+// byte.
 package partner
 
 import (
@@ -17,219 +18,223 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Partners are all the endpoints of a run.
+// Partners serves the endpoints of all destinations of a run.
 type Partners struct {
-	world   *scenario.World
-	journal *record.Journal
-	clock   *loop.Clock
-	network loop.Network
-	systems []*system
-	doors   []*door
-	stop    chan struct{}
-	done    sync.WaitGroup
-	lock    sync.Mutex
-	conns   int
-	shape   ResponseEncoder
+	world        *scenario.World
+	journal      *record.Journal
+	clock        *loop.Clock
+	network      loop.Network
+	destinations []*destination
+	listeners    []*listener
+	stop         chan struct{}
+	running      sync.WaitGroup
+	mu           sync.Mutex
+	connCount    int             // connections accepted so far, guarded by mu
+	encoder      ResponseEncoder // nil: responses have a Content-Length
 }
 
-// ResponseEncoder gives an answer its form on the wire, from its head, without the empty line behind it and without what says where
-// the answer ends, and its body.
+// ResponseEncoder encodes a response for the wire. head holds the status line and headers, without Content-Length and
+// without the blank line that ends them; the encoder chooses how the body is delimited.
 type ResponseEncoder func(head, body []byte) EncodedResponse
 
-// EncodedResponse is an answer's bytes.
+// EncodedResponse is a response as it is written to the connection.
 type EncodedResponse struct {
 	Bytes                []byte
-	StatusLineEnd        int  // bytes up to the end of its status line
-	CloseDelimited       bool // the connection's end is the answer's
-	TruncateAt           int  // the connection ends after so many bytes; 0: it is whole
-	ResetAfterTruncation bool // and how
+	StatusLineEnd        int  // offset of the first byte after the final status line
+	CloseDelimited       bool // the body ends with the connection, which is closed after the response
+	TruncateAt           int  // the connection is closed after this many bytes; 0: the response is sent in full
+	ResetAfterTruncation bool // the truncated connection is reset, not closed in order
 }
 
-// system is a destination's system: one behaviour behind all its endpoints.
-type system struct {
+// destination is the simulated system of one destination. All its endpoints share one behaviour, which the mutex
+// guards.
+type destination struct {
 	sync.Mutex
 	*behaviour.Partner
-	spec  scenario.Partner
-	calls map[string]int // by notification
+	spec      scenario.Partner
+	callsByID map[string]int // calls received so far, by notification id
 }
 
-// door is an address: the endpoint behind it, or several of different destinations.
-type door struct {
-	all      *Partners
-	addr     string
-	listener int
-	behind   map[int]scenario.Endpoint // by destination
-	only     *scenario.Endpoint        // where there is one
-	lock     sync.Mutex
-	ln       net.Listener
-	open     map[*conn]bool
+// listener is a listening address. It serves a single endpoint, or several endpoints of different destinations.
+type listener struct {
+	partners  *Partners
+	addr      string
+	index     int
+	endpoints map[int]scenario.Endpoint // by destination
+	sole      *scenario.Endpoint        // the only endpoint; nil if the address is shared
+	mu        sync.Mutex
+	ln        net.Listener // nil while closed; guarded by mu, as is conns
+	conns     map[*conn]bool
 }
 
-// Start opens the endpoints' addresses. Answers are shaped, or go with a length where shape is nil.
-func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network, shape ResponseEncoder) (*Partners, error) {
-	p := &Partners{world: w, journal: j, clock: clock, network: network, stop: make(chan struct{}), shape: shape}
-	byListener := map[int]*door{}
+// Start listens on the addresses of the endpoints that accept connections at the start of the run. encoder encodes the
+// responses; if it is nil they have a Content-Length.
+func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network, encoder ResponseEncoder) (*Partners, error) {
+	p := &Partners{world: w, journal: j, clock: clock, network: network, stop: make(chan struct{}), encoder: encoder}
+	byListener := map[int]*listener{}
 	for _, spec := range w.Partners {
-		p.systems = append(p.systems, &system{Partner: behaviour.New(w, spec), spec: spec, calls: map[string]int{}})
+		p.destinations = append(p.destinations, &destination{Partner: behaviour.New(w, spec), spec: spec, callsByID: map[string]int{}})
 		for _, e := range spec.Endpoints {
-			d := byListener[e.Listener]
-			if d == nil {
-				d = &door{all: p, addr: network.EndpointAddr(e.Listener), listener: e.Listener,
-					behind: map[int]scenario.Endpoint{}, open: map[*conn]bool{}}
-				byListener[e.Listener] = d
-				p.doors = append(p.doors, d)
+			l := byListener[e.Listener]
+			if l == nil {
+				l = &listener{partners: p, addr: network.EndpointAddr(e.Listener), index: e.Listener,
+					endpoints: map[int]scenario.Endpoint{}, conns: map[*conn]bool{}}
+				byListener[e.Listener] = l
+				p.listeners = append(p.listeners, l)
 			}
-			d.behind[e.Dest] = e
-			if d.only = nil; !w.SharesListener(e) {
-				d.only = &e
+			l.endpoints[e.Dest] = e
+			if l.sole = nil; !w.SharesListener(e) {
+				l.sole = &e
 			}
 		}
 	}
-	for _, d := range p.doors {
-		if d.takes(0) {
-			if err := d.listen(); err != nil {
+	for _, l := range p.listeners {
+		if l.accepting(0) {
+			if err := l.listen(); err != nil {
 				p.Close()
 				return nil, err
 			}
 		}
 	}
-	p.done.Go(p.follow)
+	p.running.Go(p.updateListeners)
 	return p, nil
 }
 
-// Addr is where an endpoint is reached.
+// Addr returns the address of an endpoint.
 func (p *Partners) Addr(e scenario.Endpoint) string { return p.network.EndpointAddr(e.Listener) }
 
-// Close ends all connections and listeners.
+// Close closes all listeners, resets their connections and waits until their goroutines have ended.
 func (p *Partners) Close() {
 	close(p.stop)
-	for _, d := range p.doors {
-		d.shut()
+	for _, l := range p.listeners {
+		l.closeAndReset()
 	}
-	p.done.Wait()
+	p.running.Wait()
 }
 
-// follow opens and shuts doors as endpoints come, go, and refuse.
-func (p *Partners) follow() {
-	var moments []float64
-	const after = 1e-4
+// updateListeners opens and closes listeners at the times at which endpoints appear, go, or start or stop refusing
+// connections.
+func (p *Partners) updateListeners() {
+	var times []float64
+	const settleSeconds = 1e-4 // looks this long after each change, when it has taken effect
 	for _, f := range p.world.Faults {
 		if f.Kind == scenario.RefuseConnections {
-			moments = append(moments, f.At+after, f.End()+after)
+			times = append(times, f.At+settleSeconds, f.End()+settleSeconds)
 		}
 	}
-	for _, s := range p.systems {
-		for _, e := range s.spec.Endpoints {
+	for _, dest := range p.destinations {
+		for _, e := range dest.spec.Endpoints {
 			if e.AddedAt > 0 {
-				moments = append(moments, e.AddedAt+after)
+				times = append(times, e.AddedAt+settleSeconds)
 			}
 			if e.RemovedAt > 0 {
-				moments = append(moments, e.RemovedAt+1+after)
+				times = append(times, e.RemovedAt+1+settleSeconds) // it accepts connections for 1 s after its removal
 			}
 		}
 	}
-	slices.Sort(moments)
-	for _, at := range slices.Compact(moments) {
+	slices.Sort(times)
+	for _, at := range slices.Compact(times) {
 		for now := p.clock.Now(); now < at; now = p.clock.Now() {
-			wait := 20 * time.Millisecond
+			pause := 20 * time.Millisecond
 			if now >= 0 {
-				wait = p.clock.Until(at)
+				pause = p.clock.Until(at)
 			}
 			select {
 			case <-p.stop:
 				return
-			case <-time.After(wait):
+			case <-time.After(pause):
 			}
 		}
-		for _, d := range p.doors {
-			if d.takes(at) {
-				_ = d.listen() // its address is its own: it can be had again
+		for _, l := range p.listeners {
+			if l.accepting(at) {
+				_ = l.listen() // the address belongs to this run alone, so it is free again
 			} else {
-				d.shut()
+				l.closeAndReset()
 			}
 		}
 	}
 }
 
-// takes tells whether connections are taken. A shared door always stands open.
-func (d *door) takes(now float64) bool {
-	if d.only == nil {
+// accepting reports whether connections are accepted at a time of the run. A shared listener always accepts them.
+func (l *listener) accepting(now float64) bool {
+	if l.sole == nil {
 		return true
 	}
-	s := d.all.systems[d.only.Dest]
-	s.Lock()
-	defer s.Unlock()
-	return s.AcceptsConnections(now, d.only.Index)
+	dest := l.partners.destinations[l.sole.Dest]
+	dest.Lock()
+	defer dest.Unlock()
+	return dest.AcceptsConnections(now, l.sole.Index)
 }
 
-// listen opens the door, unless it is open.
-func (d *door) listen() error {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if d.ln != nil {
+// listen opens the listener if it is closed, and starts to accept connections.
+func (l *listener) listen() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.ln != nil {
 		return nil
 	}
-	ln, err := net.Listen("tcp", d.addr)
+	ln, err := net.Listen("tcp", l.addr)
 	if errors.Is(err, syscall.EMFILE) {
-		return fmt.Errorf("endpoints want %d listeners and the process may not open so many: raise ulimit -n, or set listeners in the scenario", len(d.all.doors))
+		return fmt.Errorf("%d endpoint listeners exceed the limit of open files: raise ulimit -n, or set listeners in the scenario", len(l.partners.listeners))
 	}
 	if err != nil {
-		return fmt.Errorf("endpoint: %w", err)
+		return fmt.Errorf("endpoint listener: %w", err)
 	}
-	d.ln = ln
-	d.all.done.Go(func() { d.accept(ln) })
+	l.ln = ln
+	l.partners.running.Go(func() { l.accept(ln) })
 	return nil
 }
 
-// shut closes the door and resets all that came through it, as the end of a process does.
-func (d *door) shut() {
-	d.lock.Lock()
-	ln, open := d.ln, d.open
-	d.ln, d.open = nil, map[*conn]bool{}
-	d.lock.Unlock()
+// closeAndReset closes the listener and resets its connections, as happens when a process dies.
+func (l *listener) closeAndReset() {
+	l.mu.Lock()
+	ln, conns := l.ln, l.conns
+	l.ln, l.conns = nil, map[*conn]bool{}
+	l.mu.Unlock()
 	if ln != nil {
 		_ = ln.Close()
 	}
-	for c := range open {
+	for c := range conns {
 		c.reset()
 	}
 }
 
-func (d *door) accept(ln net.Listener) {
+// accept accepts connections until ln is closed.
+func (l *listener) accept(ln net.Listener) {
 	for {
-		c, err := ln.Accept()
+		accepted, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // too many descriptors: those that wait get in once some are free
+		if err != nil { // out of file descriptors: pending connections are accepted once some are free
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		d.all.lock.Lock()
-		d.all.conns++
-		number := d.all.conns
-		d.all.lock.Unlock()
-		conn := newConn(d, c.(*net.TCPConn), number)
-		d.lock.Lock()
-		stands := d.ln == ln
-		if stands {
-			d.open[conn] = true
-			conn.beyond = d.only != nil && d.kind().MaxConnections > 0 && len(d.open) > d.kind().MaxConnections
+		l.partners.mu.Lock()
+		l.partners.connCount++
+		id := l.partners.connCount
+		l.partners.mu.Unlock()
+		conn := newConn(l, accepted.(*net.TCPConn), id)
+		l.mu.Lock()
+		current := l.ln == ln
+		if current {
+			l.conns[conn] = true
+			conn.overLimit = l.sole != nil && l.kind().MaxConnections > 0 && len(l.conns) > l.kind().MaxConnections
 		}
-		d.lock.Unlock()
-		if !stands {
+		l.mu.Unlock()
+		if !current {
 			conn.reset()
 			continue
 		}
-		d.all.done.Go(conn.read)
-		d.all.done.Go(conn.serve)
+		l.partners.running.Go(conn.readCalls)
+		l.partners.running.Go(conn.serve)
 	}
 }
 
-// kind is that of the partners behind the door.
-func (d *door) kind() scenario.Kind {
-	for dest := range d.behind {
-		return d.all.systems[dest].spec.Kind // those that share a door are of one group
+// kind returns the partner kind of the endpoints served here.
+func (l *listener) kind() scenario.Kind {
+	for dest := range l.endpoints {
+		return l.partners.destinations[dest].spec.Kind // endpoints that share a listener are of one kind
 	}
 	return scenario.Kind{}
 }
