--- a/lab/agent/agent.go
+++ b/lab/agent/agent.go
@@ -1,4 +1,5 @@
-// Package agent plays the platform's agent beside each dispatcher: the list of endpoints, watches on it, and notices.
+// Package agent simulates the platform's agent beside each dispatcher: it serves the list of endpoints, long polls for
+// changes of the list, and accepts notices.
 package agent
 
 import (
@@ -16,24 +17,24 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Agents are all dispatchers' agents.
+// Agents runs the agents of all dispatchers.
 type Agents struct {
-	world   *scenario.World
-	journal *record.Journal
-	clock   *loop.Clock
-	addr    func(scenario.Endpoint) string
-	changes []change
-	servers []*http.Server
-	stop    chan struct{}
+	world        *scenario.World
+	journal      *record.Journal
+	clock        *loop.Clock
+	endpointAddr func(scenario.Endpoint) string
+	versions     []listVersion
+	servers      []*http.Server
+	stop         chan struct{} // closed by Close
 }
 
-// change is one version of the list.
-type change struct {
+// listVersion holds the entries that change with one version of the list. The first version holds the whole list.
+type listVersion struct {
 	at      float64
 	entries []server
 }
 
-// server is an endpoint as the list tells it.
+// server is an endpoint in the platform's form.
 type server struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -45,31 +46,32 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// list is the list as it is told.
+// list is a version of the list, whole or as a change, in the platform's form.
 type list struct {
 	Version int      `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []server `json:"servers"`
 }
 
-// The states of an endpoint.
+// The states of an endpoint in the list.
 const (
 	ready    = "ready"
 	draining = "draining"
 	gone     = "gone"
 )
 
-// Start opens an agent for each dispatcher.
+// Start starts an agent for each dispatcher. The agent of a dispatcher that a scenario moves is served at both
+// addresses until the old one closes. endpointAddr returns an endpoint's address.
 func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network,
-	addr func(scenario.Endpoint) string) (*Agents, error) {
-	a := &Agents{world: w, journal: j, clock: clock, addr: addr, stop: make(chan struct{})}
-	a.plan()
+	endpointAddr func(scenario.Endpoint) string) (*Agents, error) {
+	a := &Agents{world: w, journal: j, clock: clock, endpointAddr: endpointAddr, stop: make(chan struct{})}
+	a.planVersions()
 	for i := range w.Dispatchers.Count {
-		old, err := a.open(i, network.AgentAddr(i))
-		if err == nil && slices.ContainsFunc(w.Troubles, a.moves(i)) {
-			t := w.Troubles[slices.IndexFunc(w.Troubles, a.moves(i))]
-			if _, err = a.open(i, network.MovedAgentAddr(i)); err == nil {
-				go a.leave(old, t)
+		oldServer, err := a.startServer(i, network.AgentAddr(i))
+		if err == nil && slices.ContainsFunc(w.Troubles, a.movesAgentOf(i)) {
+			t := w.Troubles[slices.IndexFunc(w.Troubles, a.movesAgentOf(i))]
+			if _, err = a.startServer(i, network.MovedAgentAddr(i)); err == nil {
+				go a.closeOldAddr(oldServer, t)
 			}
 		}
 		if err != nil {
@@ -80,38 +82,38 @@
 	return a, nil
 }
 
-// open starts an agent at an address.
-func (a *Agents) open(dispatcher int, addr string) (*door, error) {
+// startServer serves a dispatcher's agent at an address.
+func (a *Agents) startServer(dispatcher int, addr string) (*agentServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", func(rw http.ResponseWriter, r *http.Request) { a.members(dispatcher, rw, r) })
-	mux.HandleFunc("POST /v1/notices", func(rw http.ResponseWriter, r *http.Request) { a.notices(dispatcher, rw, r) })
-	d := &door{ln, &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}}
-	a.servers = append(a.servers, d.server)
-	go func() { _ = d.server.Serve(ln) }() // it ends with Close
-	return d, nil
+	mux.HandleFunc("GET /catalog/members", func(rw http.ResponseWriter, r *http.Request) { a.handleMembers(dispatcher, rw, r) })
+	mux.HandleFunc("POST /v1/notices", func(rw http.ResponseWriter, r *http.Request) { a.handleNotices(dispatcher, rw, r) })
+	s := &agentServer{ln, &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}}
+	a.servers = append(a.servers, s.server)
+	go func() { _ = s.server.Serve(ln) }() // returns once the server is closed
+	return s, nil
 }
 
-// door is an agent's address.
-type door struct {
+// agentServer is an agent served at one address.
+type agentServer struct {
 	ln     net.Listener
 	server *http.Server
 }
 
-// moves finds the trouble that moves a dispatcher's agent.
-func (a *Agents) moves(dispatcher int) func(scenario.Trouble) bool {
+// movesAgentOf returns a predicate that reports whether a trouble moves a dispatcher's agent.
+func (a *Agents) movesAgentOf(dispatcher int) func(scenario.Trouble) bool {
 	return func(t scenario.Trouble) bool {
 		return t.Kind == scenario.MoveAgent && t.AppliesToDispatcher(dispatcher)
 	}
 }
 
-// leave closes the old address once the agent has moved: it takes no new connection from then on, and closes the open
-// ones a little later.
-func (a *Agents) leave(old *door, t scenario.Trouble) {
-	const lasts = 1500 * time.Millisecond
+// closeOldAddr closes an agent's old address when the agent moves: from then on no new connection is accepted, and the
+// open ones are closed after closeDelay.
+func (a *Agents) closeOldAddr(oldServer *agentServer, t scenario.Trouble) {
+	const closeDelay = 1500 * time.Millisecond
 	for a.clock.Now() < t.At {
 		select {
 		case <-a.stop:
@@ -119,15 +121,15 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	_ = old.ln.Close()
+	_ = oldServer.ln.Close()
 	select {
 	case <-a.stop:
-	case <-time.After(lasts):
-		_ = old.server.Close()
+	case <-time.After(closeDelay):
+		_ = oldServer.server.Close()
 	}
 }
 
-// Close ends them.
+// Close stops all agents.
 func (a *Agents) Close() {
 	close(a.stop)
 	for _, s := range a.servers {
@@ -135,62 +137,64 @@
 	}
 }
 
-// plan lists the versions that the run's drains make.
-func (a *Agents) plan() {
-	a.changes = []change{{at: -1}}
+// planVersions computes the versions of the list and when each is published, from the endpoints that appear, drain and
+// go during the run.
+func (a *Agents) planVersions() {
+	a.versions = []listVersion{{at: -1}}
 	for _, p := range a.world.Partners {
 		for _, e := range p.Endpoints {
 			if e.AddedAt == 0 {
-				a.changes[0].entries = append(a.changes[0].entries, a.entry(p, e, ready))
+				a.versions[0].entries = append(a.versions[0].entries, a.entry(p, e, ready))
 			}
 		}
 	}
-	later := map[float64][]server{}
+	byTime := map[float64][]server{}
 	for _, p := range a.world.Partners {
 		for _, e := range p.Endpoints {
-			learned := a.world.ListDelay(e)
+			lag := a.world.ListDelay(e)
 			if e.DrainsAt > 0 {
-				later[e.DrainsAt+learned] = append(later[e.DrainsAt+learned], a.entry(p, e, draining))
-				later[e.RemovedAt+learned] = append(later[e.RemovedAt+learned], a.entry(p, e, gone))
+				byTime[e.DrainsAt+lag] = append(byTime[e.DrainsAt+lag], a.entry(p, e, draining))
+				byTime[e.RemovedAt+lag] = append(byTime[e.RemovedAt+lag], a.entry(p, e, gone))
 			}
 			if e.AddedAt > 0 {
-				later[e.AddedAt+learned] = append(later[e.AddedAt+learned], a.entry(p, e, ready))
+				byTime[e.AddedAt+lag] = append(byTime[e.AddedAt+lag], a.entry(p, e, ready))
 			}
 		}
 	}
-	for at, entries := range later {
-		a.changes = append(a.changes, change{at, entries})
+	for at, entries := range byTime {
+		a.versions = append(a.versions, listVersion{at, entries})
 	}
-	slices.SortFunc(a.changes, func(x, y change) int {
+	slices.SortFunc(a.versions, func(x, y listVersion) int {
 		if x.at < y.at {
 			return -1
 		}
-		return 1 // no two are of one moment
+		return 1 // the times are distinct
 	})
 }
 
+// entry returns an endpoint's entry in the list.
 func (a *Agents) entry(p scenario.Partner, e scenario.Endpoint, state string) server {
-	return server{ID: e.ID, Addr: a.addr(e), Zone: e.Zone, Kind: p.Kind.Name, Cell: e.Dest, State: state, Weight: p.ListedRate()}
+	return server{ID: e.ID, Addr: a.endpointAddr(e), Zone: e.Zone, Kind: p.Kind.Name, Cell: e.Dest, State: state, Weight: p.ListedRate()}
 }
 
-// InitialList is the list as a dispatcher has it at its start, in the platform's form.
+// InitialList returns the list that a dispatcher is configured with when it starts, in the platform's form.
 func (a *Agents) InitialList() any {
-	return list{Version: 1, Full: true, Servers: a.changes[0].entries}
+	return list{Version: 1, Full: true, Servers: a.versions[0].entries}
 }
 
-// at is the version of a moment; they count from 1.
-func (a *Agents) at(now float64) int {
+// versionAt returns the version of the list at a time of the run. Versions count from 1.
+func (a *Agents) versionAt(now float64) int {
 	version := 1
-	for i, c := range a.changes {
-		if c.at <= now {
+	for i, v := range a.versions {
+		if v.at <= now {
 			version = i + 1
 		}
 	}
 	return version
 }
 
-// down tells whether the list is silent for a dispatcher, and until when.
-func (a *Agents) down(dispatcher int, now float64) (float64, bool) {
+// listDownUntil reports whether a dispatcher's requests for the list go unanswered, and if so until when.
+func (a *Agents) listDownUntil(dispatcher int, now float64) (float64, bool) {
 	for _, t := range a.world.Troubles {
 		if t.Kind == scenario.ListDown && now >= t.At && now < t.End() && t.AppliesToDispatcher(dispatcher) {
 			return t.End(), true
@@ -199,8 +203,8 @@
 	return 0, false
 }
 
-// slow is how much longer an answer takes now.
-func (a *Agents) slow(dispatcher int, now float64) float64 {
+// extraDelay returns by how many seconds a response with the list is delayed now.
+func (a *Agents) extraDelay(dispatcher int, now float64) float64 {
 	for _, t := range a.world.Troubles {
 		if t.Kind == scenario.ListSlow && now >= t.At && now < t.End() && t.AppliesToDispatcher(dispatcher) {
 			return t.Factor
@@ -209,27 +213,28 @@
 	return 0
 }
 
-// members tells the list, or waits for a change of it.
-func (a *Agents) members(dispatcher int, rw http.ResponseWriter, r *http.Request) {
-	const mostHold = 60_000
+// handleMembers serves the list. A request that names a valid version to start from is a long poll: it is answered once
+// there is a newer version, or else after the time that it may be held.
+func (a *Agents) handleMembers(dispatcher int, rw http.ResponseWriter, r *http.Request) {
+	const maxHoldMS = 60_000
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	watch := err == nil && from >= 1 && from <= len(a.changes)
-	until := time.Now().Add(time.Duration(min(max(hold, 0), mostHold)) * time.Millisecond)
+	holdMS, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	longPoll := err == nil && from >= 1 && from <= len(a.versions)
+	deadline := time.Now().Add(time.Duration(min(max(holdMS, 0), maxHoldMS)) * time.Millisecond)
 	for {
 		now := a.clock.Now()
-		if end, is := a.down(dispatcher, now); is {
+		if end, down := a.listDownUntil(dispatcher, now); down {
 			if !a.sleep(r, min(a.clock.Until(end), 50*time.Millisecond)) {
 				return
 			}
 			continue
 		}
-		if slow := a.slow(dispatcher, now); slow > 0 && !a.sleep(r, time.Duration(slow*float64(time.Second))) {
+		if delay := a.extraDelay(dispatcher, now); delay > 0 && !a.sleep(r, time.Duration(delay*float64(time.Second))) {
 			return
 		}
-		version := a.at(now)
-		if !watch || version > from || time.Now().After(until) {
-			a.tell(dispatcher, rw, from, version, !watch)
+		version := a.versionAt(now)
+		if !longPoll || version > from || time.Now().After(deadline) {
+			a.writeList(dispatcher, rw, from, version, !longPoll)
 			return
 		}
 		if !a.sleep(r, 10*time.Millisecond) {
@@ -238,7 +243,8 @@
 	}
 }
 
-// sleep waits a little; false where nobody waits for the answer any more.
+// sleep waits for d and reports whether the response is still wanted: it returns false once the request is cancelled or
+// the agents are stopped.
 func (a *Agents) sleep(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(max(d, time.Millisecond)):
@@ -249,27 +255,27 @@
 	return false
 }
 
-// tell writes the whole list, or what changed, and notes it.
-func (a *Agents) tell(dispatcher int, rw http.ResponseWriter, from, version int, full bool) {
-	l := list{Version: version, Full: full, Servers: []server{}}
+// writeList writes the whole list, or the changes since the version from, and records in the journal what was sent.
+func (a *Agents) writeList(dispatcher int, rw http.ResponseWriter, from, version int, full bool) {
+	response := list{Version: version, Full: full, Servers: []server{}}
 	if full {
 		from = 0
 	}
-	entries := map[string]int{}
-	for _, c := range a.changes[from:max(from, version)] {
-		for _, e := range c.entries {
-			if i, ok := entries[e.ID]; ok {
-				l.Servers[i] = e
+	indexByID := map[string]int{}
+	for _, v := range a.versions[from:max(from, version)] {
+		for _, e := range v.entries {
+			if i, ok := indexByID[e.ID]; ok {
+				response.Servers[i] = e
 				continue
 			}
-			entries[e.ID] = len(l.Servers)
-			l.Servers = append(l.Servers, e)
+			indexByID[e.ID] = len(response.Servers)
+			response.Servers = append(response.Servers, e)
 		}
 	}
 	if full {
-		l.Servers = slices.DeleteFunc(l.Servers, func(s server) bool { return s.State == gone })
+		response.Servers = slices.DeleteFunc(response.Servers, func(s server) bool { return s.State == gone })
 	}
-	body, err := json.Marshal(l)
+	body, err := json.Marshal(response)
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusInternalServerError)
 		return
@@ -281,35 +287,35 @@
 	if f, ok := rw.(http.Flusher); ok {
 		f.Flush()
 	}
-	told := record.ListUpdate{Dispatcher: dispatcher, At: a.clock.Now(), Version: version, Full: full}
-	for _, s := range l.Servers {
-		told.Entries = append(told.Entries, record.ListEntry{ID: s.ID, State: s.State})
+	sent := record.ListUpdate{Dispatcher: dispatcher, At: a.clock.Now(), Version: version, Full: full}
+	for _, s := range response.Servers {
+		sent.Entries = append(sent.Entries, record.ListEntry{ID: s.ID, State: s.State})
 	}
-	if full || len(told.Entries) > 0 {
-		a.journal.AddListUpdate(told)
+	if full || len(sent.Entries) > 0 {
+		a.journal.AddListUpdate(sent)
 	}
 }
 
-// notices takes notices, a JSON object a line.
-func (a *Agents) notices(dispatcher int, rw http.ResponseWriter, r *http.Request) {
-	var all []record.Notice
-	in := bufio.NewScanner(r.Body)
-	for in.Scan() {
+// handleNotices accepts notices, one JSON object a line, and records them in the journal.
+func (a *Agents) handleNotices(dispatcher int, rw http.ResponseWriter, r *http.Request) {
+	var notices []record.Notice
+	scanner := bufio.NewScanner(r.Body)
+	for scanner.Scan() {
 		var line struct {
 			Message   string
 			Outcome   string
 			RetryInMS float64 `json:"retry_in_ms"`
 		}
-		if json.Unmarshal(in.Bytes(), &line) != nil || line.Message == "" ||
+		if json.Unmarshal(scanner.Bytes(), &line) != nil || line.Message == "" ||
 			line.Outcome != record.GivenUp && line.Outcome != record.HandedBack {
 			rw.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		all = append(all, record.Notice{Dispatcher: dispatcher, ID: line.Message, Outcome: line.Outcome,
+		notices = append(notices, record.Notice{Dispatcher: dispatcher, ID: line.Message, Outcome: line.Outcome,
 			RetryIn: line.RetryInMS / 1000})
 	}
 	now := a.clock.Now()
-	for _, n := range all {
+	for _, n := range notices {
 		n.At = now
 		a.journal.AddNotice(n)
 	}
