--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -4,44 +4,44 @@
 	"orchiddrift/lab/scenario"
 )
 
-// repeats are the platform's words for the repeat kinds.
-var repeats = map[string]string{scenario.Repeatable: "free", scenario.Collapsible: "guarded", scenario.OnceOnly: "single_shot"}
+// repeatNames maps the scenario's repeat kinds to the platform's names.
+var repeatNames = map[string]string{scenario.Repeatable: "free", scenario.Collapsible: "guarded", scenario.OnceOnly: "single_shot"}
 
-const ms = 1000
+const msPerSecond = 1000
 
-// settings are a scenario's terms in the platform's form.
+// settings returns a scenario's settings in the platform's form.
 func settings(w *scenario.World) map[string]any {
 	var kinds []string
 	var batch []int
-	var apart []bool
+	var separateRoutes []bool
 	for _, k := range w.Kinds {
-		kinds, batch, apart = append(kinds, k.Name), append(batch, k.BatchSize), append(apart, false)
+		kinds, batch, separateRoutes = append(kinds, k.Name), append(batch, k.BatchSize), append(separateRoutes, false)
 	}
 	var topics []map[string]any
 	for _, t := range w.Topics {
-		topics = append(topics, map[string]any{"name": t.Name, "repeat": repeats[t.Repeat], "group": t.DedupScope,
-			"memory-span-ms": t.DedupWindow * ms, "promise-ms": t.Objective * ms, "deadline-ms": t.TTL * ms,
+		topics = append(topics, map[string]any{"name": t.Name, "repeat": repeatNames[t.Repeat], "group": t.DedupScope,
+			"memory-span-ms": t.DedupWindow * msPerSecond, "promise-ms": t.Objective * msPerSecond, "deadline-ms": t.TTL * msPerSecond,
 			"importance": t.Benefit, "late-worth": t.LateBenefit, "sequential": t.Ordered})
 	}
-	shares := 0.0
+	totalShare := 0.0
 	for _, t := range w.Tenants {
-		shares += t.Share
+		totalShare += t.Share
 	}
 	var tenants []map[string]any
 	for _, t := range w.Tenants {
-		const ample = 1.5
+		const quotaHeadroom = 1.5 // default quota as a multiple of the tenant's share of the load
 		rate := t.QuotaRate
 		if rate == 0 {
-			rate = ample * w.Load.Rate * t.Share / shares
+			rate = quotaHeadroom * w.Load.Rate * t.Share / totalShare
 		}
 		tenants = append(tenants, map[string]any{"name": t.Name, "quota-rps": rate})
 	}
 	d := w.Dispatchers
 	return map[string]any{"balancers": d.Count, "azs": scenario.Zones, "kinds": kinds, "membership-mode": "push",
-		"weight-kind": "nominal", "tick-ms": d.TickInterval * ms, "classes": topics, "tenants": tenants, "over-share-worth": 0.05,
-		"family-info": map[string]any{"max-calls": d.MaxCalls, "batch-by-kind": batch, "separate-routes": apart},
-		"policy-limits": map[string]any{"most-held": d.MaxHeld, "max-attempts": d.MaxPushes, "dial-timeout-ms": d.DialTimeout * ms,
-			"idle-close-ms": w.MinIdleTimeout() * ms},
-		"guarantees": map[string]any{"cold-from": w.Recovery.InitialCapacity, "cold-ms": w.Recovery.WarmUp * ms,
-			"overload-factor": w.Recovery.OverloadFactor, "fall-ms": w.Recovery.OverloadSpan * ms, "turn-gap-ms": d.KeyCooldown * ms}}
+		"weight-kind": "nominal", "tick-ms": d.TickInterval * msPerSecond, "classes": topics, "tenants": tenants, "over-share-worth": 0.05,
+		"family-info": map[string]any{"max-calls": d.MaxCalls, "batch-by-kind": batch, "separate-routes": separateRoutes},
+		"policy-limits": map[string]any{"most-held": d.MaxHeld, "max-attempts": d.MaxPushes, "dial-timeout-ms": d.DialTimeout * msPerSecond,
+			"idle-close-ms": w.MinIdleTimeout() * msPerSecond},
+		"guarantees": map[string]any{"cold-from": w.Recovery.InitialCapacity, "cold-ms": w.Recovery.WarmUp * msPerSecond,
+			"overload-factor": w.Recovery.OverloadFactor, "fall-ms": w.Recovery.OverloadSpan * msPerSecond, "turn-gap-ms": d.KeyCooldown * msPerSecond}}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts real dispatcher processes on loopback, kills and restarts them as a scenario says, and reads what
-// they use. Every process it starts it ends.
+// Package fleet starts real dispatcher processes on loopback, stalls, kills and restarts them as a scenario says, and
+// measures the resources that they use. It terminates every process that it started.
 package fleet
 
 import (
@@ -23,152 +23,156 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Command starts a dispatcher; the ROUTER_ variables are added.
+// Command is the command line that starts a dispatcher. The ROUTER_ variables are added to its environment.
 type Command struct {
 	Path       string
 	Args       []string
 	Env        []string
-	CPUProfile bool // a CPU profile of each goes beside its log
+	CPUProfile bool // each dispatcher writes a CPU profile beside its log
 }
 
-// Usage is what a dispatcher's processes used.
+// Usage is the resource usage of a dispatcher, over all its processes.
 type Usage struct {
-	CPUSeconds      float64 `json:"cpu_s"`       // seconds, over the load
-	PeakBytes       int     `json:"peak_bytes"`  // resident memory
-	IdleBytes       int     `json:"rest_bytes"`  // resident once ready
-	PeakDescriptors int     `json:"descriptors"` // most
-	PeakDiskBytes   int     `json:"disk_bytes"`  // most that its folder held, in whole blocks
+	CPUSeconds      float64 `json:"cpu_s"`       // CPU time in seconds, without the start of each process
+	PeakBytes       int     `json:"peak_bytes"`  // largest resident memory
+	IdleBytes       int     `json:"rest_bytes"`  // resident memory when ready, before any load
+	PeakDescriptors int     `json:"descriptors"` // most open file descriptors
+	PeakDiskBytes   int     `json:"disk_bytes"`  // largest size of its state folder, in whole blocks
 }
 
-// Fleet is all dispatchers of a run.
+// Fleet runs all dispatchers of a run.
 type Fleet struct {
-	world   *scenario.World
-	journal *record.Journal
-	clock   *loop.Clock
-	network loop.Network
-	known   any // the list, in the platform's form
-	command Command
-	dir     string
-	all     []*process
-	done    sync.WaitGroup
+	world       *scenario.World
+	journal     *record.Journal
+	clock       *loop.Clock
+	network     loop.Network
+	initialList any // the list of endpoints at the start of the run, in the platform's form
+	command     Command
+	dir         string // for configurations, logs and profiles
+	processes   []*process
+	running     sync.WaitGroup
 }
 
+// process is a dispatcher and its current process. mu guards the fields below it.
 type process struct {
-	number int
-	state  string
-	turn   sync.Mutex // one trouble at a time
-	lock   sync.Mutex
-	cmd    *exec.Cmd
-	begun  time.Time // its present process
-	asked  bool      // to end
-	ended  chan struct{}
-	usage  Usage
-	cpu    float64 // of the present process, read last
-	spare  float64 // what it had used when it was ready
-	over   [2]bool // a limit was passed and noted: memory, disk
+	index         int
+	stateDir      string
+	faultMu       sync.Mutex // held while a trouble acts on the dispatcher, so that troubles do not overlap
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	startedAt     time.Time     // of the current process
+	stopRequested bool          // SIGTERM or SIGKILL was sent to the current process
+	exited        chan struct{} // closed when the current process has exited; nil before the first start
+	usage         Usage
+	cpuSeconds    float64 // CPU time of the current process at the last sample
+	cpuAtReady    float64 // CPU time of the current process when it became ready
+	limitExceeded [2]bool // the limit of memory or disk was exceeded, and this was recorded
 }
 
 const (
-	readyIn = 10 * time.Second
-	endIn   = 3700 * time.Millisecond // from SIGTERM to SIGKILL, as on the platform
-	sample  = 200 * time.Millisecond
+	readyTimeout   = 10 * time.Second
+	stopTimeout    = 3700 * time.Millisecond // from SIGTERM to SIGKILL, as on the platform
+	sampleInterval = 200 * time.Millisecond  // between two samples of resource usage
 )
 
-// Start writes each dispatcher's configuration into dir and starts them all; it returns once all are ready.
+// Start writes the dispatchers' configurations into dir and starts them all. It returns once all are ready, or with an
+// error once each is ready or has failed. The fleet is returned with an error too: the caller stops it.
 func Start(ctx context.Context, w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network,
-	known any, command Command, dir, state string) (*Fleet, error) {
-	f := &Fleet{world: w, journal: j, clock: clock, network: network, known: known, command: command, dir: dir}
+	initialList any, command Command, dir, stateDir string) (*Fleet, error) {
+	f := &Fleet{world: w, journal: j, clock: clock, network: network, initialList: initialList, command: command, dir: dir}
 	for i := range w.Dispatchers.Count {
-		p := &process{number: i, state: filepath.Join(state, fmt.Sprintf("d%d.state", i))}
-		f.all = append(f.all, p)
-		if err := errors.Join(f.configure(i, network.AgentAddr(i)), os.MkdirAll(p.state, 0o700)); err != nil {
+		p := &process{index: i, stateDir: filepath.Join(stateDir, fmt.Sprintf("d%d.state", i))}
+		f.processes = append(f.processes, p)
+		if err := errors.Join(f.writeConfig(i, network.AgentAddr(i)), os.MkdirAll(p.stateDir, 0o700)); err != nil {
 			return f, err
 		}
 	}
-	errs := make(chan error, len(f.all))
-	for _, p := range f.all {
+	errs := make(chan error, len(f.processes))
+	for _, p := range f.processes {
 		go func() { errs <- f.start(ctx, p) }()
 	}
 	var err error
-	for range f.all {
+	for range f.processes {
 		err = errors.Join(err, <-errs)
 	}
 	return f, err
 }
 
-// configure writes a dispatcher's configuration.
-func (f *Fleet) configure(i int, discovery string) error {
+// writeConfig writes a dispatcher's configuration. It replaces an existing file atomically.
+func (f *Fleet) writeConfig(i int, agentAddr string) error {
 	d := f.world.Dispatchers
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("d%d", i), "listen": f.network.DispatcherAddr(i),
-		"discovery": discovery, "seed": fmt.Sprintf("%x", f.world.Seed*1000+uint64(i)), "known": f.known,
+		"discovery": agentAddr, "seed": fmt.Sprintf("%x", f.world.Seed*1000+uint64(i)), "known": f.initialList,
 		"limits":   map[string]any{"cores": d.Cores, "memory_mb": d.MemoryMB, "sockets": d.Sockets, "disk_mb": d.DiskMB},
 		"settings": settings(f.world)})
 	if err != nil {
 		return err
 	}
-	next := f.config(i) + ".next"
-	return errors.Join(os.WriteFile(next, text, 0o600), os.Rename(next, f.config(i)))
+	tempPath := f.configPath(i) + ".next"
+	return errors.Join(os.WriteFile(tempPath, text, 0o600), os.Rename(tempPath, f.configPath(i)))
 }
 
-func (f *Fleet) config(i int) string { return filepath.Join(f.dir, fmt.Sprintf("d%d.json", i)) }
+// configPath returns the path of a dispatcher's configuration.
+func (f *Fleet) configPath(i int) string { return filepath.Join(f.dir, fmt.Sprintf("d%d.json", i)) }
 
-// LogPath is where a dispatcher's log goes.
+// LogPath returns the path of a dispatcher's log.
 func (f *Fleet) LogPath(i int) string { return filepath.Join(f.dir, fmt.Sprintf("d%d.log", i)) }
 
-// start starts a dispatcher and waits until it is ready.
+// start launches a dispatcher and waits until it is ready.
 func (f *Fleet) start(ctx context.Context, p *process) error {
-	cmd, ended, err := f.launch(p)
+	cmd, exited, err := f.launch(p)
 	if err != nil {
 		return err
 	}
-	return f.awaitReady(ctx, p, cmd, ended)
+	return f.waitReady(ctx, p, cmd, exited)
 }
 
-// launch starts a dispatcher.
+// launch starts a dispatcher's process. The returned channel is closed when the process has exited.
 func (f *Fleet) launch(p *process) (*exec.Cmd, chan struct{}, error) {
-	log, err := os.OpenFile(f.LogPath(p.number), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(f.LogPath(p.index), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer log.Close()
 	args := slices.Clone(f.command.Args)
 	if f.command.CPUProfile {
-		args = append(args, "--cpuprofile", filepath.Join(f.dir, fmt.Sprintf("d%d.pprof", p.number)))
+		args = append(args, "--cpuprofile", filepath.Join(f.dir, fmt.Sprintf("d%d.pprof", p.index)))
 	}
 	cmd := exec.Command(f.command.Path, args...)
-	cmd.Env = append(append(os.Environ(), f.command.Env...), "ROUTER_CONFIG="+f.config(p.number), "ROUTER_STATE="+p.state,
-		fmt.Sprintf("ROUTER_NAME=d%d", p.number), "ROUTER_LISTEN="+f.network.DispatcherAddr(p.number),
-		"ROUTER_DISCOVERY="+f.network.AgentAddr(p.number))
+	cmd.Env = append(append(os.Environ(), f.command.Env...), "ROUTER_CONFIG="+f.configPath(p.index), "ROUTER_STATE="+p.stateDir,
+		fmt.Sprintf("ROUTER_NAME=d%d", p.index), "ROUTER_LISTEN="+f.network.DispatcherAddr(p.index),
+		"ROUTER_DISCOVERY="+f.network.AgentAddr(p.index))
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // Ctrl-C is ours: we end it in order
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // the terminal's SIGINT must not reach it: Stop terminates it
 	if err := cmd.Start(); err != nil {
-		return nil, nil, fmt.Errorf("dispatcher %d: %w", p.number, err)
-	}
-	ended := make(chan struct{})
-	p.lock.Lock()
-	p.cmd, p.asked, p.ended, p.cpu, p.spare, p.begun = cmd, false, ended, 0, 0, time.Now()
-	p.lock.Unlock()
-	f.life(p, record.Started, "")
-	f.done.Go(func() { f.await(p, cmd, ended) })
-	return cmd, ended, nil
+		return nil, nil, fmt.Errorf("dispatcher %d: %w", p.index, err)
+	}
+	exited := make(chan struct{})
+	p.mu.Lock()
+	p.cmd, p.stopRequested, p.exited, p.cpuSeconds, p.cpuAtReady, p.startedAt = cmd, false, exited, 0, 0, time.Now()
+	p.mu.Unlock()
+	f.recordEvent(p, record.Started, "")
+	f.running.Go(func() { f.waitExit(p, cmd, exited) })
+	return cmd, exited, nil
 }
 
-// awaitReady waits until a dispatcher that was started is ready. One that was told to end meanwhile is none.
-func (f *Fleet) awaitReady(ctx context.Context, p *process, cmd *exec.Cmd, ended chan struct{}) error {
+// waitReady waits until a launched dispatcher is ready. It returns an error if the process exits first or readyTimeout
+// passes.
+func (f *Fleet) waitReady(ctx context.Context, p *process, cmd *exec.Cmd, exited chan struct{}) error {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
-	for begun := time.Now(); time.Since(begun) < readyIn && ctx.Err() == nil; {
-		resp, err := client.Get("http://" + f.network.DispatcherAddr(p.number) + "/_health")
+	for start := time.Now(); time.Since(start) < readyTimeout && ctx.Err() == nil; {
+		resp, err := client.Get("http://" + f.network.DispatcherAddr(p.index) + "/_health")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				f.ready(p, cmd)
+				f.markReady(p, cmd)
 				return nil
 			}
 		}
 		select {
-		case <-ended:
-			return fmt.Errorf("dispatcher %d ended before it was ready: its log is %s", p.number, f.LogPath(p.number))
+		case <-exited:
+			return fmt.Errorf("dispatcher %d ended before it was ready: see its log %s", p.index, f.LogPath(p.index))
 		case <-ctx.Done():
 		case <-time.After(5 * time.Millisecond):
 		}
@@ -176,49 +180,51 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return fmt.Errorf("dispatcher %d was not ready in %v: its log is %s", p.number, readyIn, f.LogPath(p.number))
+	return fmt.Errorf("dispatcher %d was not ready within %v: see its log %s", p.index, readyTimeout, f.LogPath(p.index))
 }
 
-// ready notes that a process is ready, unless it was told to end meanwhile.
-func (f *Fleet) ready(p *process, cmd *exec.Cmd) {
-	p.lock.Lock()
-	if p.cmd != cmd || p.asked {
-		p.lock.Unlock()
+// markReady records that a process is ready and what it uses then, unless it has been stopped or replaced meanwhile.
+func (f *Fleet) markReady(p *process, cmd *exec.Cmd) {
+	p.mu.Lock()
+	if p.cmd != cmd || p.stopRequested {
+		p.mu.Unlock()
 		return
 	}
-	f.life(p, record.Ready, "")
-	p.lock.Unlock()
-	f.read(p)
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	f.recordEvent(p, record.Ready, "")
+	p.mu.Unlock()
+	f.sampleUsage(p)
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.usage.IdleBytes = max(p.usage.IdleBytes, p.usage.PeakBytes)
-	p.spare = p.cpu
+	p.cpuAtReady = p.cpuSeconds
 }
 
-// await notes how a process ended.
-func (f *Fleet) await(p *process, cmd *exec.Cmd, ended chan struct{}) {
+// waitExit waits for a process to exit, and records its CPU time and whether it exited unexpectedly.
+func (f *Fleet) waitExit(p *process, cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
-	p.lock.Lock()
-	asked := p.asked
-	p.usage.CPUSeconds += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds() - p.spare
-	p.cpu, p.spare = 0, 0
-	p.lock.Unlock()
-	if asked {
-		f.life(p, record.Exited, "")
+	p.mu.Lock()
+	stopRequested := p.stopRequested
+	p.usage.CPUSeconds += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds() - p.cpuAtReady
+	p.cpuSeconds, p.cpuAtReady = 0, 0
+	p.mu.Unlock()
+	if stopRequested {
+		f.recordEvent(p, record.Exited, "")
 	} else {
-		f.life(p, record.Crashed, fmt.Sprint("it ended with ", cmd.ProcessState, errorText(err)))
+		f.recordEvent(p, record.Crashed, fmt.Sprint("exited unexpectedly: ", cmd.ProcessState, waitErrorText(err)))
 	}
-	close(ended)
+	close(exited)
 }
 
-// asked tells that a process was told to end, or has been followed by another.
-func (f *Fleet) asked(p *process, cmd *exec.Cmd) bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.cmd != cmd || p.asked
+// stoppedOrReplaced reports whether a process was asked to stop or is no longer the dispatcher's current one.
+func (f *Fleet) stoppedOrReplaced(p *process, cmd *exec.Cmd) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cmd != cmd || p.stopRequested
 }
 
-func errorText(err error) string {
+// waitErrorText returns a suffix for an error of waiting for a process. It is empty for an exit status, which the
+// process state already states.
+func waitErrorText(err error) string {
 	var exit *exec.ExitError
 	if err == nil || errors.As(err, &exit) {
 		return ""
@@ -226,188 +232,194 @@
 	return ": " + err.Error()
 }
 
-func (f *Fleet) life(p *process, what, text string) {
-	f.journal.AddProcessEvent(record.ProcessEvent{Dispatcher: p.number, At: f.clock.Now(), Kind: what, Detail: text})
+// recordEvent adds an event of a dispatcher's process to the journal.
+func (f *Fleet) recordEvent(p *process, event, detail string) {
+	f.journal.AddProcessEvent(record.ProcessEvent{Dispatcher: p.index, At: f.clock.Now(), Kind: event, Detail: detail})
 }
 
-// signal sends a signal to a dispatcher's process if it stands.
-func (f *Fleet) signal(p *process, s os.Signal, asks bool) {
-	p.lock.Lock()
+// signal sends a signal to a dispatcher's current process, if any. stop marks the process as asked to stop, so that its
+// exit does not count as a crash.
+func (f *Fleet) signal(p *process, s os.Signal, stop bool) {
+	p.mu.Lock()
 	cmd := p.cmd
-	p.asked = p.asked || asks
-	p.lock.Unlock()
+	p.stopRequested = p.stopRequested || stop
+	p.mu.Unlock()
 	if cmd != nil {
-		_ = cmd.Process.Signal(s) // one that has ended already is as good
+		_ = cmd.Process.Signal(s) // fails only if the process has exited already
 	}
 }
 
-// kill kills a dispatcher's process outright, and notes it.
+// kill sends SIGKILL to a dispatcher's process and records it.
 func (f *Fleet) kill(p *process) {
 	f.signal(p, syscall.SIGKILL, true)
-	f.life(p, record.Killed, "")
+	f.recordEvent(p, record.Killed, "")
 }
 
-// term tells a dispatcher's process to end, and notes it.
-func (f *Fleet) term(p *process) {
+// terminate sends SIGTERM to a dispatcher's process and records it.
+func (f *Fleet) terminate(p *process) {
 	f.signal(p, syscall.SIGTERM, true)
-	f.life(p, record.TerminateSent, "")
+	f.recordEvent(p, record.TerminateSent, "")
 }
 
-// InjectFaults carries out the dispatchers' troubles until the run is over.
+// InjectFaults starts to carry out the troubles of dispatchers, and to sample their resource usage, until ctx is done.
+// It does not wait for either.
 func (f *Fleet) InjectFaults(ctx context.Context) {
 	for _, t := range f.world.Troubles {
-		for _, p := range f.all {
-			if t.AffectsDispatchers() && t.Kind != scenario.ListDown && t.Kind != scenario.ListSlow && t.AppliesToDispatcher(p.number) {
-				f.done.Go(func() { f.trouble(ctx, p, t) })
+		for _, p := range f.processes {
+			if t.AffectsDispatchers() && t.Kind != scenario.ListDown && t.Kind != scenario.ListSlow && t.AppliesToDispatcher(p.index) {
+				f.running.Go(func() { f.injectFault(ctx, p, t) })
 			}
 		}
 	}
-	f.done.Go(func() {
+	f.running.Go(func() {
 		for ctx.Err() == nil {
-			for _, p := range f.all {
-				f.read(p)
+			for _, p := range f.processes {
+				f.sampleUsage(p)
 			}
-			pause(ctx, sample)
+			sleep(ctx, sampleInterval)
 		}
 	})
 }
 
-func (f *Fleet) trouble(ctx context.Context, p *process, t scenario.Trouble) {
-	if !pause(ctx, f.clock.Until(t.At)) {
+// injectFault waits for the time of a trouble and carries it out on one dispatcher.
+func (f *Fleet) injectFault(ctx context.Context, p *process, t scenario.Trouble) {
+	if !sleep(ctx, f.clock.Until(t.At)) {
 		return
 	}
-	if t.Kind == scenario.MoveAgent { // whatever else goes on: the agent has moved
-		f.move(ctx, p)
+	if t.Kind == scenario.MoveAgent { // does not wait for other troubles: the agent moves at this time in any case
+		f.moveAgent(ctx, p)
 		return
 	}
-	p.turn.Lock()
-	defer p.turn.Unlock()
+	p.faultMu.Lock()
+	defer p.faultMu.Unlock()
 	switch t.Kind {
 	case scenario.Stall:
 		f.stall(ctx, p, t.Duration)
 		return
 	case scenario.SignalSeries:
-		f.series(ctx, p, t)
+		f.injectSeries(ctx, p, t)
 		return
 	case scenario.Kill:
 		f.kill(p)
 	case scenario.Restart:
-		f.term(p)
-		f.ending(p)
+		f.terminate(p)
+		f.waitStopped(p)
 	}
-	if !pause(ctx, seconds(t.Wait)) {
+	if !sleep(ctx, secondsToDuration(t.Wait)) {
 		return
 	}
-	f.ending(p)
+	f.waitStopped(p)
 	if err := f.start(ctx, p); err != nil && ctx.Err() == nil {
-		f.life(p, record.Crashed, err.Error())
+		f.recordEvent(p, record.Crashed, err.Error())
 	}
 }
 
-// handlersIn is how long a process may take until SIGHUP no longer ends it.
-const handlersIn = 300 * time.Millisecond
+// signalHandlerSetup is how long a new process may take to install its signal handlers. Before that SIGHUP terminates
+// it.
+const signalHandlerSetup = 300 * time.Millisecond
 
-// move tells a dispatcher that its agent has moved, by a new configuration and SIGHUP. A process that starts meanwhile reads the new
-// configuration, whole: it takes the place of the old one at once.
-func (f *Fleet) move(ctx context.Context, p *process) {
-	if err := f.configure(p.number, f.network.MovedAgentAddr(p.number)); err != nil {
-		f.life(p, record.Crashed, err.Error())
+// moveAgent announces the agent's new address to a dispatcher by a new configuration and SIGHUP. Because the
+// configuration is replaced atomically, a process that starts meanwhile reads a complete one.
+func (f *Fleet) moveAgent(ctx context.Context, p *process) {
+	if err := f.writeConfig(p.index, f.network.MovedAgentAddr(p.index)); err != nil {
+		f.recordEvent(p, record.Crashed, err.Error())
 	}
 	for {
-		p.lock.Lock()
-		young := time.Since(p.begun) < handlersIn
-		p.lock.Unlock()
-		if !young {
+		p.mu.Lock()
+		starting := time.Since(p.startedAt) < signalHandlerSetup
+		p.mu.Unlock()
+		if !starting {
 			break
 		}
-		if !pause(ctx, handlersIn) {
+		if !sleep(ctx, signalHandlerSetup) {
 			return
 		}
 	}
 	f.signal(p, syscall.SIGHUP, false)
 }
 
-// ending waits for a process that was told to end, and kills it where it does not in time.
-func (f *Fleet) ending(p *process) {
-	p.lock.Lock()
-	ended := p.ended
-	p.lock.Unlock()
-	if ended == nil {
+// waitStopped waits until a process that was asked to stop has exited, and kills it after stopTimeout.
+func (f *Fleet) waitStopped(p *process) {
+	p.mu.Lock()
+	exited := p.exited
+	p.mu.Unlock()
+	if exited == nil {
 		return
 	}
 	select {
-	case <-ended:
-	case <-time.After(endIn):
+	case <-exited:
+	case <-time.After(stopTimeout):
 		f.signal(p, syscall.SIGKILL, true)
-		<-ended
+		<-exited
 	}
 }
 
-// Stop tells all to end, and ends those that do not.
+// Stop terminates all dispatchers, kills those that do not exit within stopTimeout, and waits for the fleet's
+// goroutines. It continues stalled processes first, since those would not handle SIGTERM.
 func (f *Fleet) Stop() {
-	for _, p := range f.all {
+	for _, p := range f.processes {
 		f.signal(p, syscall.SIGCONT, false)
 		f.signal(p, syscall.SIGTERM, true)
 	}
-	for _, p := range f.all {
-		f.ending(p)
+	for _, p := range f.processes {
+		f.waitStopped(p)
 	}
-	f.done.Wait()
+	f.running.Wait()
 }
 
-// read takes a sample of what a dispatcher uses, and notes where that is over its limits.
-func (f *Fleet) read(p *process) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+// sampleUsage samples the resource usage of a dispatcher, and records the first time that it exceeds a limit.
+func (f *Fleet) sampleUsage(p *process) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
 	u := &p.usage
 	if proc, err := procfs.NewProc(p.cmd.Process.Pid); err == nil {
 		if stat, err := proc.Stat(); err == nil {
-			p.cpu = stat.CPUTime()
+			p.cpuSeconds = stat.CPUTime()
 			u.PeakBytes = max(u.PeakBytes, stat.ResidentMemory())
 		}
 		if n, err := proc.FileDescriptorsLen(); err == nil {
 			u.PeakDescriptors = max(u.PeakDescriptors, n)
 		}
 	}
-	held := 0
-	files, _ := os.ReadDir(p.state) // one that cannot be read holds nothing
+	diskBytes := 0
+	files, _ := os.ReadDir(p.stateDir) // an unreadable folder counts as empty
 	for _, file := range files {
 		if info, err := file.Info(); err == nil {
-			const block = 512
-			held += int(info.Size()+block-1) / block * block
+			const blockSize = 512
+			diskBytes += int(info.Size()+blockSize-1) / blockSize * blockSize
 		}
 	}
-	u.PeakDiskBytes = max(u.PeakDiskBytes, held)
-	for i, x := range []struct {
-		what string
-		used int
-		most float64
+	u.PeakDiskBytes = max(u.PeakDiskBytes, diskBytes)
+	for i, resource := range []struct {
+		name    string
+		used    int
+		limitMB float64
 	}{{"memory", u.PeakBytes, f.world.Dispatchers.MemoryMB}, {"disk", u.PeakDiskBytes, f.world.Dispatchers.DiskMB}} {
-		if float64(x.used) > x.most*1e6 && !p.over[i] {
-			p.over[i] = true
-			f.life(p, record.LimitExceeded, fmt.Sprintf("%s: %d bytes, where %.0f MB are its limit", x.what, x.used, x.most))
+		if float64(resource.used) > resource.limitMB*1e6 && !p.limitExceeded[i] {
+			p.limitExceeded[i] = true
+			f.recordEvent(p, record.LimitExceeded, fmt.Sprintf("%s: %d bytes used, limit %.0f MB", resource.name, resource.used, resource.limitMB))
 		}
 	}
 }
 
-// Usage tells what each dispatcher used since the load began.
+// Usage returns the resource usage of each dispatcher so far.
 func (f *Fleet) Usage() []Usage {
 	var list []Usage
-	for _, p := range f.all {
-		p.lock.Lock()
+	for _, p := range f.processes {
+		p.mu.Lock()
 		u := p.usage
-		u.CPUSeconds += p.cpu - p.spare
+		u.CPUSeconds += p.cpuSeconds - p.cpuAtReady
 		list = append(list, u)
-		p.lock.Unlock()
+		p.mu.Unlock()
 	}
 	return list
 }
 
-// pause waits; it tells whether the run still goes on.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether it passed before ctx was done.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -418,4 +430,5 @@
 	}
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// secondsToDuration converts seconds to a time.Duration.
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/lab/fleet/series.go
+++ b/lab/fleet/series.go
@@ -10,74 +10,76 @@
 	"orchiddrift/lab/scenario"
 )
 
-// The shares of a series' signals: the rest are kills.
+// The parameters of a series. Signals that are neither stalls nor restarts are kills.
 const (
-	stallShare   = 0.2
-	restartShare = 0.15
-	longestStall = 0.8 // seconds
-	longestDown  = 0.3
+	stallShare      = 0.2
+	restartShare    = 0.15
+	maxStallSeconds = 0.8
+	maxDownSeconds  = 0.3 // before the dispatcher is started again
 )
 
-// series sends one dispatcher signals one after another, without waiting for a start to come to its end: its processes are
-// killed, told to end and stalled at any moment of their lives. Which and when follows from the world's seed.
-func (f *Fleet) series(ctx context.Context, p *process, t scenario.Trouble) {
-	chance := rand.New(rand.NewPCG(f.world.Seed, uint64(p.number)<<32|uint64(t.At*1000)))
+// injectSeries sends one dispatcher a series of signals without waiting until each new process is ready, so that
+// processes are killed, terminated and stalled at any point of their lifetime, start-up included. The world's seed
+// determines the signals and their times.
+func (f *Fleet) injectSeries(ctx context.Context, p *process, t scenario.Trouble) {
+	rng := rand.New(rand.NewPCG(f.world.Seed, uint64(p.index)<<32|uint64(t.At*1000)))
 	var starts sync.WaitGroup
 	defer starts.Wait()
-	gap := t.Duration / float64(max(1, t.SignalCount))
+	meanGap := t.Duration / float64(max(1, t.SignalCount))
 	for range t.SignalCount {
-		switch x := chance.Float64(); {
+		switch x := rng.Float64(); {
 		case x < stallShare:
-			f.stall(ctx, p, longestStall*chance.Float64())
+			f.stall(ctx, p, maxStallSeconds*rng.Float64())
 		case x < stallShare+restartShare:
-			f.term(p)
-			f.ending(p)
+			f.terminate(p)
+			f.waitStopped(p)
 		default:
 			f.kill(p)
-			f.ending(p)
+			f.waitStopped(p)
 		}
-		if !pause(ctx, seconds(longestDown*chance.Float64())) {
+		if !sleep(ctx, secondsToDuration(maxDownSeconds*rng.Float64())) {
 			return
 		}
-		if f.ended(p) && !f.startSoon(ctx, p, &starts) {
+		if f.hasExited(p) && !f.startAsync(ctx, p, &starts) {
 			return
 		}
-		if !pause(ctx, seconds(2*gap*chance.Float64())) {
+		if !sleep(ctx, secondsToDuration(2*meanGap*rng.Float64())) {
 			return
 		}
 	}
 }
 
-// startSoon starts a dispatcher and goes on; whether it becomes ready is noted meanwhile.
-func (f *Fleet) startSoon(ctx context.Context, p *process, starts *sync.WaitGroup) bool {
-	cmd, ended, err := f.launch(p)
+// startAsync launches a dispatcher and reports whether that worked. It does not wait until the process is ready: a
+// goroutine in starts records a process that does not become ready.
+func (f *Fleet) startAsync(ctx context.Context, p *process, starts *sync.WaitGroup) bool {
+	cmd, exited, err := f.launch(p)
 	if err != nil {
-		f.life(p, record.Crashed, err.Error())
+		f.recordEvent(p, record.Crashed, err.Error())
 		return false
 	}
 	starts.Go(func() {
-		if err := f.awaitReady(ctx, p, cmd, ended); err != nil && ctx.Err() == nil && !f.asked(p, cmd) {
-			f.life(p, record.Crashed, err.Error())
+		if err := f.waitReady(ctx, p, cmd, exited); err != nil && ctx.Err() == nil && !f.stoppedOrReplaced(p, cmd) {
+			f.recordEvent(p, record.Crashed, err.Error())
 		}
 	})
 	return true
 }
 
-// stall lets a dispatcher stand still for so many seconds.
+// stall suspends a dispatcher's process with SIGSTOP for s seconds.
 func (f *Fleet) stall(ctx context.Context, p *process, s float64) {
-	f.life(p, record.Stalled, "")
+	f.recordEvent(p, record.Stalled, "")
 	f.signal(p, syscall.SIGSTOP, false)
-	pause(ctx, seconds(s))
+	sleep(ctx, secondsToDuration(s))
 	f.signal(p, syscall.SIGCONT, false)
-	f.life(p, record.Resumed, "")
+	f.recordEvent(p, record.Resumed, "")
 }
 
-// ended tells that a dispatcher's process is gone.
-func (f *Fleet) ended(p *process) bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+// hasExited reports whether a dispatcher's process has exited.
+func (f *Fleet) hasExited(p *process) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
