--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -12,81 +12,84 @@
 	"orchiddrift/lab/scenario"
 )
 
-// RoundRobin is a plain front: it deals hand-ins out to dispatchers in turn, keeps a key with one dispatcher while that is
-// alive, and learns of a dead one only after a while.
+// RoundRobin is a load balancer in front of the dispatchers. It distributes notifications round-robin, sends those of
+// one key to the same dispatcher while that is up, and stops using a dispatcher only some time after it went down, as
+// health checks do.
 type RoundRobin struct {
-	network loop.Network
-	clock   *loop.Clock
-	learns  float64
-	turn    atomic.Int64
-	lock    sync.Mutex
-	dead    []float64 // when it was first found dead, 0 where it is not
-	looked  []float64 // and when it was tried last
+	network     loop.Network
+	clock       *loop.Clock
+	detectAfter float64 // seconds until a dispatcher that went down is no longer used
+	next        atomic.Int64
+	mu          sync.Mutex
+	downSince   []float64 // by dispatcher: time of the first refused connection; 0: up
+	lastTried   []float64 // by dispatcher: time of the last attempt while it is known to be down
 }
 
-// NewRoundRobin returns a front of so many dispatchers.
+// NewRoundRobin returns a balancer for the dispatchers of a world.
 func NewRoundRobin(w *scenario.World, network loop.Network, clock *loop.Clock) *RoundRobin {
 	n := w.Dispatchers.Count
-	return &RoundRobin{network: network, clock: clock, learns: w.Load.FailureDetectionDelay, dead: make([]float64, n), looked: make([]float64, n)}
+	return &RoundRobin{network: network, clock: clock, detectAfter: w.Load.FailureDetectionDelay, downSince: make([]float64, n), lastTried: make([]float64, n)}
 }
 
-// Choose picks a dispatcher.
-func (s *RoundRobin) Choose(client int, key string, _, try int) (Target, bool) {
-	first := int(s.turn.Add(1))
+// Choose returns the next dispatcher that is not known to be down, or for a key the first such dispatcher from the one
+// that the key hashes to.
+func (r *RoundRobin) Choose(client int, key string, _, try int) (Target, bool) {
+	first := int(r.next.Add(1))
 	if key != "" {
-		first = int(xxhash.Sum64String(key) % uint64(len(s.dead)))
+		first = int(xxhash.Sum64String(key) % uint64(len(r.downSince)))
 	}
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	now := s.clock.Now()
-	for i := range s.dead {
-		d := (first + i) % len(s.dead)
-		if s.dead[d] > 0 && now >= s.dead[d]+s.learns {
-			if now < s.looked[d]+s.learns/2 {
-				continue // known to be dead; it is tried again now and then
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.clock.Now()
+	for i := range r.downSince {
+		dispatcher := (first + i) % len(r.downSince)
+		if r.downSince[dispatcher] > 0 && now >= r.downSince[dispatcher]+r.detectAfter {
+			if now < r.lastTried[dispatcher]+r.detectAfter/2 {
+				continue // known to be down: tried once per half detection time
 			}
-			s.looked[d] = now
+			r.lastTried[dispatcher] = now
 		}
-		return Target{Dispatcher: d, Addr: s.network.DispatcherAddr(d), Path: "/api"}, true
+		return Target{Dispatcher: dispatcher, Addr: r.network.DispatcherAddr(dispatcher), Path: "/api"}, true
 	}
 	return Target{}, false
 }
 
-// MarkDown notes that a dispatcher takes no connection.
-func (s *RoundRobin) MarkDown(t Target) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if s.dead[t.Dispatcher] == 0 {
-		now := s.clock.Now()
-		s.dead[t.Dispatcher], s.looked[t.Dispatcher] = now, now
+// MarkDown records that a dispatcher refused a connection.
+func (r *RoundRobin) MarkDown(t Target) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.downSince[t.Dispatcher] == 0 {
+		now := r.clock.Now()
+		r.downSince[t.Dispatcher], r.lastTried[t.Dispatcher] = now, now
 	}
 }
 
-// MarkUp notes that a dispatcher answered.
-func (s *RoundRobin) MarkUp(t Target) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.dead[t.Dispatcher] = 0
+// MarkUp records that a dispatcher answered.
+func (r *RoundRobin) MarkUp(t Target) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.downSince[t.Dispatcher] = 0
 }
 
-// Direct leads to the partners themselves, with no dispatcher between.
+// Direct is a balancer that sends notifications to the partners' endpoints, without a dispatcher.
 type Direct struct {
 	World *scenario.World
 	Addr  func(scenario.Endpoint) string
-	turn  atomic.Int64
+	next  atomic.Int64
 }
 
-// Choose picks an endpoint of the destination in turn.
-func (s *Direct) Choose(_ int, _ string, dest, _ int) (Target, bool) {
-	p := s.World.Partners[dest]
-	e := p.Endpoints[int(s.turn.Add(1))%len(p.Endpoints)]
-	return Target{Dispatcher: -1, Addr: s.Addr(e), Path: "/hook"}, true
+// Choose returns the endpoints of the destination in turn. All destinations share one counter.
+func (d *Direct) Choose(_ int, _ string, dest, _ int) (Target, bool) {
+	p := d.World.Partners[dest]
+	e := p.Endpoints[int(d.next.Add(1))%len(p.Endpoints)]
+	return Target{Dispatcher: -1, Addr: d.Addr(e), Path: "/hook"}, true
 }
 
-// MarkDown does nothing: an endpoint that is down may be up at the next try.
+// MarkDown does nothing: an endpoint that is down may be up at the next attempt.
 func (*Direct) MarkDown(Target) {}
 
-// MarkUp does nothing.
+// MarkUp does nothing, as no endpoint is marked down.
 func (*Direct) MarkUp(Target) {}
 
-func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnRefused reports whether a connection was refused.
+func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,5 +1,6 @@
-// Package load hands notifications in as clients do: on an open loop, whose arrivals wait for nobody, or on a closed one
-// for measuring. Each arrival has its planned moment, and times are counted from there.
+// Package load generates the load of a run: it submits notifications as clients do. In an open loop they are submitted
+// at planned times, whether or not earlier ones have been answered; latencies count from the planned time. In a closed
+// loop a fixed number of clients each submit one at a time, to measure the capacity.
 package load
 
 import (
@@ -20,76 +21,78 @@
 )
 
 const (
-	answerIn = 400 * time.Millisecond // a client waits so long for its answer
-	idleFor  = 1500 * time.Millisecond
+	answerTimeout = 400 * time.Millisecond  // how long a client waits for the answer to a submission
+	idleTimeout   = 1500 * time.Millisecond // idle client connections are closed after this time
 )
 
-// Target is where a hand-in goes.
+// Target is where a notification is submitted.
 type Target struct {
-	Dispatcher int
+	Dispatcher int // -1: an endpoint, without a dispatcher
 	Addr       string
 	Path       string
 }
 
-// Generator is the clients of a run.
+// Generator simulates the clients of a run. Its exported fields are set before Run is called.
 type Generator struct {
-	World    *scenario.World
-	Journal  *record.Journal
-	Clock    *loop.Clock
-	Arrivals []scenario.Arrival
-	Balancer Balancer
-	lock     sync.Mutex
-	clients  map[way]*fasthttp.HostClient
-	keys     map[string][]func() // of ordered keys: what waits for its turn
-	late     *hdrhistogram.Histogram
-	handed   atomic.Int64
-	body     []byte
+	World        *scenario.World
+	Journal      *record.Journal
+	Clock        *loop.Clock
+	Arrivals     []scenario.Arrival
+	Balancer     Balancer
+	mu           sync.Mutex
+	httpClients  map[route]*fasthttp.HostClient
+	waitingByKey map[string][]func() // submissions that wait for an earlier one of their key; an entry exists while one runs
+	lateness     *hdrhistogram.Histogram
+	submitted    atomic.Int64
+	body         []byte
 }
 
-// Balancer says where a hand-in goes.
+// Balancer chooses where notifications are submitted.
 type Balancer interface {
-	// Choose picks for a client, key and destination, at a try counted from 0.
+	// Choose returns the target for a client, key and destination. Attempts (try) count from 0. It returns false if no
+	// target is usable now.
 	Choose(client int, key string, dest, try int) (Target, bool)
-	// Dead tells that nobody took a connection there, Alive that an answer came.
+	// MarkDown records that a target refused a connection.
 	MarkDown(Target)
+	// MarkUp records that a target answered.
 	MarkUp(Target)
 }
 
-// Lateness is by how much the generator itself was behind its plan.
+// Lateness states by how many seconds the generator itself was behind its plan.
 type Lateness struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// Planned is how many notifications the plan holds; Handed how many came to be handed in.
-func (l *Generator) Planned() int { return len(l.Arrivals) }
+// Planned returns how many notifications the plan holds.
+func (g *Generator) Planned() int { return len(g.Arrivals) }
 
-// Submitted is how many notifications were handed in so far.
-func (l *Generator) Submitted() int { return int(l.handed.Load()) }
+// Submitted returns how many notifications were submitted so far. Retries do not count.
+func (g *Generator) Submitted() int { return int(g.submitted.Load()) }
 
-// Run hands in until the plan or ctx ends, and returns once the last answer is there.
-func (l *Generator) Run(ctx context.Context) {
-	l.clients, l.keys = map[way]*fasthttp.HostClient{}, map[string][]func(){}
-	const most, digits = 60_000_000, 3 // microseconds
-	l.late = hdrhistogram.New(1, most, digits)
-	l.body = make([]byte, l.World.Load.BodyBytes)
-	for i := range l.body {
-		l.body[i] = byte('a' + i%26)
+// Run submits notifications until the plan or ctx ends, and returns once the last submission has ended.
+func (g *Generator) Run(ctx context.Context) {
+	g.httpClients, g.waitingByKey = map[route]*fasthttp.HostClient{}, map[string][]func(){}
+	const maxMicros, significantDigits = 60_000_000, 3 // microseconds
+	g.lateness = hdrhistogram.New(1, maxMicros, significantDigits)
+	g.body = make([]byte, g.World.Load.BodyBytes)
+	for i := range g.body {
+		g.body[i] = byte('a' + i%26)
 	}
-	var under sync.WaitGroup
-	if l.World.Load.ClosedLoop > 0 {
-		l.closed(ctx, &under)
+	var inFlight sync.WaitGroup
+	if g.World.Load.ClosedLoop > 0 {
+		g.runClosedLoop(ctx, &inFlight)
 	} else {
-		l.open(ctx, &under)
+		g.runOpenLoop(ctx, &inFlight)
 	}
-	under.Wait()
+	inFlight.Wait()
 }
 
-// open starts each arrival at its moment.
-func (l *Generator) open(ctx context.Context, under *sync.WaitGroup) {
-	for i, a := range l.Arrivals {
-		if wait := l.Clock.Until(a.At); wait > 0 {
+// runOpenLoop submits each notification at its planned time.
+func (g *Generator) runOpenLoop(ctx context.Context, inFlight *sync.WaitGroup) {
+	for i, a := range g.Arrivals {
+		if wait := g.Clock.Until(a.At); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
@@ -98,123 +101,125 @@
 		if ctx.Err() != nil {
 			return
 		}
-		_ = l.late.RecordValue(max(1, int64((l.Clock.Now()-a.At)*1e6))) // one past the scale is not kept, and shows as p99
-		l.handed.Add(1)
-		under.Add(1)
-		l.inTurn(a, func() {
-			defer under.Done()
-			l.handIn(ctx, i, a)
+		_ = g.lateness.RecordValue(max(1, int64((g.Clock.Now()-a.At)*1e6))) // values above the range are dropped; the p99 shows such delays too
+		g.submitted.Add(1)
+		inFlight.Add(1)
+		g.startInKeyOrder(a, func() {
+			defer inFlight.Done()
+			g.submit(ctx, i, a)
 		})
 	}
 }
 
-// inTurn starts a hand-in, after those of its key that came before.
-func (l *Generator) inTurn(a scenario.Arrival, work func()) {
-	key := keyOf(a)
+// startInKeyOrder runs a submission in the background, after the earlier ones of the same ordered key.
+func (g *Generator) startInKeyOrder(a scenario.Arrival, work func()) {
+	key := orderKey(a)
 	if key == "" {
 		go work()
 		return
 	}
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	waiting, busy := l.keys[key]
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	waiting, busy := g.waitingByKey[key]
 	if busy {
-		l.keys[key] = append(waiting, work)
+		g.waitingByKey[key] = append(waiting, work)
 		return
 	}
-	l.keys[key] = nil
+	g.waitingByKey[key] = nil
 	go func() {
 		for work != nil {
 			work()
-			l.lock.Lock()
-			if waiting := l.keys[key]; len(waiting) > 0 {
-				work, l.keys[key] = waiting[0], waiting[1:]
+			g.mu.Lock()
+			if waiting := g.waitingByKey[key]; len(waiting) > 0 {
+				work, g.waitingByKey[key] = waiting[0], waiting[1:]
 			} else {
-				delete(l.keys, key)
+				delete(g.waitingByKey, key)
 				work = nil
 			}
-			l.lock.Unlock()
+			g.mu.Unlock()
 		}
 	}()
 }
 
-// keyOf is the key of an ordered notification.
-func keyOf(a scenario.Arrival) string {
+// orderKey returns the key of an ordered notification, or "" for one without order.
+func orderKey(a scenario.Arrival) string {
 	if a.Key == 0 {
 		return ""
 	}
 	return fmt.Sprintf("k%d-%d", a.Dest, a.Key)
 }
 
-// closed keeps so many hand-ins going, one after another on each connection.
-func (l *Generator) closed(ctx context.Context, under *sync.WaitGroup) {
+// runClosedLoop keeps the configured number of submissions in flight. It ignores the planned times.
+func (g *Generator) runClosedLoop(ctx context.Context, inFlight *sync.WaitGroup) {
 	var next atomic.Int64
-	for range l.World.Load.ClosedLoop {
-		under.Go(func() {
-			for ctx.Err() == nil && l.Clock.Now() < l.World.Length {
+	for range g.World.Load.ClosedLoop {
+		inFlight.Go(func() {
+			for ctx.Err() == nil && g.Clock.Now() < g.World.Length {
 				i := int(next.Add(1)) - 1
-				a := l.Arrivals[i%len(l.Arrivals)]
-				a.At = l.Clock.Now()
-				l.handed.Add(1)
-				l.handIn(ctx, i, a)
+				a := g.Arrivals[i%len(g.Arrivals)]
+				a.At = g.Clock.Now()
+				g.submitted.Add(1)
+				g.submit(ctx, i, a)
 			}
 		})
 	}
 }
 
-// handIn hands one notification in, and again as its client may.
-func (l *Generator) handIn(ctx context.Context, origin int, a scenario.Arrival) {
-	topic, planned := l.World.Topics[a.Topic], a.At
-	until, again, tries := planned+topic.TTL, "", 0
-	for try := 0; ctx.Err() == nil && l.Clock.Now() < until; try++ {
-		target, ok := l.Balancer.Choose(a.Client, keyOf(a), a.Dest, try)
+// submit submits one notification and retries as its client may: without limit where no connection was established, and
+// up to the configured number of times after a refusal or a missing answer. It records each attempt in the journal.
+func (g *Generator) submit(ctx context.Context, origin int, a scenario.Arrival) {
+	topic, planned := g.World.Topics[a.Topic], a.At
+	deadline, againHeader, retries := planned+topic.TTL, "", 0
+	for try := 0; ctx.Err() == nil && g.Clock.Now() < deadline; try++ {
+		target, ok := g.Balancer.Choose(a.Client, orderKey(a), a.Dest, try)
 		if !ok {
-			pause(ctx, l.World.Load.RetryDelay)
+			sleep(ctx, g.World.Load.RetryDelay)
 			continue
 		}
 		h := &record.HandIn{ID: fmt.Sprintf("%d-%d-%d", a.Dest, origin, try), PlanIndex: origin, Try: try, Topic: topic.Name,
-			Tenant: l.World.Tenants[a.Tenant].Name, Dest: a.Dest, Key: keyOf(a), Dispatcher: target.Dispatcher,
-			PlannedAt: planned, SentAt: l.Clock.Now(), ExpiresAt: until}
-		l.Journal.AddHandIn(h)
-		status, wait, why := l.post(h, topic, target, a.Client, again)
-		l.Journal.WithLock(func() {
-			h.Status, h.RetryAfter, h.FailureReason, h.AnsweredAt = status, wait, why, l.Clock.Now()
+			Tenant: g.World.Tenants[a.Tenant].Name, Dest: a.Dest, Key: orderKey(a), Dispatcher: target.Dispatcher,
+			PlannedAt: planned, SentAt: g.Clock.Now(), ExpiresAt: deadline}
+		g.Journal.AddHandIn(h)
+		status, wait, failure := g.post(h, topic, target, a.Client, againHeader)
+		g.Journal.WithLock(func() {
+			h.Status, h.RetryAfter, h.FailureReason, h.AnsweredAt = status, wait, failure, g.Clock.Now()
 		})
 		if status > 0 {
-			l.Balancer.MarkUp(target)
+			g.Balancer.MarkUp(target)
 		}
 		switch {
-		case why == refused:
-			l.Balancer.MarkDown(target)
-			pause(ctx, 0.01)
-		case why != "" && topic.Repeat == scenario.OnceOnly:
-			return // somebody may have it, and it must not run twice
-		case why != "" || status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests:
-			if tries++; tries > l.World.Load.MaxRetries {
+		case failure == whyRefused:
+			g.Balancer.MarkDown(target)
+			sleep(ctx, 0.01)
+		case failure != "" && topic.Repeat == scenario.OnceOnly:
+			return // a dispatcher may have accepted it, and it must not take effect twice
+		case failure != "" || status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests:
+			if retries++; retries > g.World.Load.MaxRetries {
 				return
 			}
-			if again = "1"; why != "" {
-				again = "again"
+			if againHeader = "1"; failure != "" {
+				againHeader = "again"
 			}
 			if wait == 0 {
-				wait = l.World.Load.RetryDelay
+				wait = g.World.Load.RetryDelay
 			}
-			pause(ctx, wait)
+			sleep(ctx, wait)
 		default:
 			return
 		}
 	}
 }
 
-// Why a hand-in got no answer.
+// The reasons for which a submission got no answer.
 const (
-	refused = "refused" // no connection
-	closed  = "closed"  // the connection ended
-	late    = "late"    // none in the time that a client waits
+	whyRefused = "refused" // the connection was refused
+	whyClosed  = "closed"  // the connection ended before an answer
+	whyTimeout = "late"    // no answer within answerTimeout
 )
 
-// post sends one hand-in and tells its answer, or why there is none.
-func (l *Generator) post(h *record.HandIn, topic scenario.Topic, to Target, from int, again string) (int, float64, string) {
+// post sends one submission. It returns the status and the wait in seconds of Retry-After (0: none), or status 0 and
+// the reason for which there is no answer.
+func (g *Generator) post(h *record.HandIn, topic scenario.Topic, to Target, clientID int, againHeader string) (int, float64, string) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -224,7 +229,7 @@
 	req.Header.Set("X-Call-Id", h.ID)
 	req.Header.Set("X-Call-Class", h.Topic)
 	req.Header.Set("X-Caller", h.Tenant)
-	req.Header.Set("X-Budget", strconv.Itoa(int((h.ExpiresAt-h.SentAt)*ms))+"m")
+	req.Header.Set("X-Budget", strconv.Itoa(int((h.ExpiresAt-h.SentAt)*msPerSecond))+"m")
 	req.Header.Set("X-Addressing", "dest="+strconv.Itoa(h.Dest))
 	if h.Key != "" {
 		req.Header.SetCookie("about", h.Key)
@@ -232,59 +237,60 @@
 	if topic.Repeat == scenario.Collapsible {
 		req.Header.Set("Idempotency-Key", fmt.Sprintf("m%d", h.PlanIndex))
 	}
-	if again != "" {
-		req.Header.Set("X-Again", again)
+	if againHeader != "" {
+		req.Header.Set("X-Again", againHeader)
 	}
-	req.SetBodyRaw(l.body)
-	client := l.client(way{from, to.Addr})
-	deadline := time.Now().Add(answerIn)
-	err := client.DoDeadline(req, resp, deadline)
+	req.SetBodyRaw(g.body)
+	httpClient := g.httpClient(route{clientID, to.Addr})
+	deadline := time.Now().Add(answerTimeout)
+	err := httpClient.DoDeadline(req, resp, deadline)
 	if errors.Is(err, fasthttp.ErrConnectionClosed) || errors.Is(err, fasthttp.ErrNoFreeConns) {
-		err = client.DoDeadline(req, resp, deadline) // it was closed between two requests: once more on another
+		err = httpClient.DoDeadline(req, resp, deadline) // an idle connection was closed meanwhile: retried once on another
 	}
 	switch {
 	case err == nil:
-		wait, _ := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64) // none is 0
+		wait, _ := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64) // 0 without the header
 		return resp.StatusCode(), wait, ""
 	case errors.Is(err, fasthttp.ErrTimeout) || errors.Is(err, fasthttp.ErrDialTimeout) || time.Now().After(deadline):
-		return 0, 0, late
-	case isRefused(err):
-		return 0, 0, refused
+		return 0, 0, whyTimeout
+	case isConnRefused(err):
+		return 0, 0, whyRefused
 	}
-	return 0, 0, closed
+	return 0, 0, whyClosed
 }
 
-const ms = 1000
+const msPerSecond = 1000
 
-// way is from a client process to an address.
-type way struct {
+// route is a client process and the address that it sends to.
+type route struct {
 	client int
 	addr   string
 }
 
-// client is the connections on a way: as many as have a request open, and those that idle.
-func (l *Generator) client(w way) *fasthttp.HostClient {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	c := l.clients[w]
+// httpClient returns the HTTP client of a route, which holds its connections: one for each open request, and idle ones.
+func (g *Generator) httpClient(r route) *fasthttp.HostClient {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	c := g.httpClients[r]
 	if c == nil {
-		c = &fasthttp.HostClient{Addr: w.addr, MaxConns: 4096, MaxIdleConnDuration: idleFor, MaxIdemponentCallAttempts: 1,
+		c = &fasthttp.HostClient{Addr: r.addr, MaxConns: 4096, MaxIdleConnDuration: idleTimeout, MaxIdemponentCallAttempts: 1,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
-		l.clients[w] = c
+		g.httpClients[r] = c
 	}
 	return c
 }
 
-// Lateness tells by how much the generator was behind.
-func (l *Generator) Lateness() Lateness {
-	if l.late == nil {
+// Lateness returns how late notifications were submitted in an open loop. It is zero for a closed loop.
+func (g *Generator) Lateness() Lateness {
+	if g.lateness == nil {
 		return Lateness{}
 	}
-	at := func(q float64) float64 { return float64(l.late.ValueAtQuantile(q)) / 1e6 }
-	return Lateness{P50: at(50), P99: at(99), Max: float64(l.late.Max()) / 1e6}
+	percentile := func(q float64) float64 { return float64(g.lateness.ValueAtQuantile(q)) / 1e6 }
+	return Lateness{P50: percentile(50), P99: percentile(99), Max: float64(g.lateness.Max()) / 1e6}
 }
 
-func pause(ctx context.Context, s float64) {
+// sleep waits for s seconds or until ctx is done.
+func sleep(ctx context.Context, s float64) {
 	select {
 	case <-time.After(time.Duration(s * float64(time.Second))):
 	case <-ctx.Done():
