--- a/lab/loop/loop.go
+++ b/lab/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop gives the parts of a run their loopback addresses and their clock.
+// Package loop provides the loopback addresses and the clock that the parts of a run share.
 package loop
 
 import (
@@ -9,63 +9,64 @@
 	"time"
 )
 
-// Network is a part of the loopback range, 127.N.0.0/16, that one run has to itself. Its ports lie below those that
-// outgoing connections get, so that a listener which closes for a while finds its address free.
+// Network is the second octet N of a loopback network, 127.N.0.0/16, that one run has to itself. Its ports are below
+// the ephemeral range, so that no outgoing connection can occupy the address of a listener that is closed for a while.
 type Network int
 
 const (
 	firstNetwork = 16
-	networks     = 224
-	tries        = 8
+	networkCount = 224
+	maxTries     = 8
 )
 
-// found counts the networks that this process looked at: two runs of it never get the same.
-var found atomic.Int64
+// candidates counts the networks that this process has tried, so that each attempt tries another network.
+var candidates atomic.Int64
 
-// AcquireNetwork returns a network that no other run holds, and what gives it back. A listener of its own holds it: a run's agents are
-// down at times, and another process that looked then would take the same addresses.
+// AcquireNetwork returns a network that no other run uses, and a function that releases it. A dedicated listener
+// reserves the network: a run's other listeners can be closed for a while, and would not prevent another process from
+// taking the same addresses.
 func AcquireNetwork() (Network, func(), error) {
-	for range tries {
-		n := Network(firstNetwork + (os.Getpid()*31+int(found.Add(1)))%networks)
-		ln, err := net.Listen("tcp", n.held())
+	for range maxTries {
+		n := Network(firstNetwork + (os.Getpid()*31+int(candidates.Add(1)))%networkCount)
+		ln, err := net.Listen("tcp", n.lockAddr())
 		if err == nil {
 			return n, func() { _ = ln.Close() }, nil
 		}
 	}
-	return 0, nil, fmt.Errorf("no free loopback network among %d: end the runs that still go on", tries)
+	return 0, nil, fmt.Errorf("no free loopback network after %d attempts: stop other runs of the laboratory", maxTries)
 }
 
-// held is the address that holds the network for a run.
-func (n Network) held() string { return fmt.Sprintf("127.%d.255.254:8499", n) }
+// lockAddr returns the address whose listener reserves the network.
+func (n Network) lockAddr() string { return fmt.Sprintf("127.%d.255.254:8499", n) }
 
-// DispatcherAddr is the address of a dispatcher, counted from 0.
+// DispatcherAddr returns the address of a dispatcher. Dispatchers count from 0.
 func (n Network) DispatcherAddr(i int) string { return fmt.Sprintf("127.%d.0.%d:8081", n, i+1) }
 
-// AgentAddr is the address of a dispatcher's agent.
+// AgentAddr returns the address of a dispatcher's agent.
 func (n Network) AgentAddr(i int) string { return fmt.Sprintf("127.%d.1.%d:8500", n, i+1) }
 
-// MovedAgentAddr is where a dispatcher's agent is found once it has moved.
+// MovedAgentAddr returns the address of a dispatcher's agent after the agent has moved.
 func (n Network) MovedAgentAddr(i int) string { return fmt.Sprintf("127.%d.1.%d:8500", n, i+101) }
 
-// ProxyAddr is the address of what stands between clients and a dispatcher.
+// ProxyAddr returns the address of the proxy between clients and a dispatcher.
 func (n Network) ProxyAddr(i int) string { return fmt.Sprintf("127.%d.1.%d:8081", n, i+201) }
 
-// EndpointAddr is the address of a listener of endpoints.
+// EndpointAddr returns the address of a listener of endpoints. Listeners count from 0.
 func (n Network) EndpointAddr(listener int) string {
-	const row = 250
-	return fmt.Sprintf("127.%d.%d.%d:9000", n, 2+listener/row, 1+listener%row)
+	const perSubnet = 250
+	return fmt.Sprintf("127.%d.%d.%d:9000", n, 2+listener/perSubnet, 1+listener%perSubnet)
 }
 
-// Clock tells the seconds since a run began. Before that it stands at -1.
+// Clock measures the seconds since a run began. Until Start is called it stands at -1.
 type Clock struct{ start atomic.Pointer[time.Time] }
 
-// Start sets the clock going.
+// Start starts the clock at 0.
 func (c *Clock) Start() {
 	now := time.Now()
 	c.start.Store(&now)
 }
 
-// Now is the time since the beginning.
+// Now returns the seconds since Start, or -1 before it.
 func (c *Clock) Now() float64 {
 	if start := c.start.Load(); start != nil {
 		return time.Since(*start).Seconds()
@@ -73,7 +74,7 @@
 	return -1
 }
 
-// Until is how long it is until a moment; it may be past.
+// Until returns the time until the given second of the run. It is negative if that is past.
 func (c *Clock) Until(at float64) time.Duration {
 	return time.Duration((at - c.Now()) * float64(time.Second))
 }
