--- a/lab/planted/planted.go
+++ b/lab/planted/planted.go
@@ -1,5 +1,6 @@
-// Package planted is a dispatcher that breaks one rule on purpose, so that the laboratory's checker can be shown to see
-// it. With no rule to break it keeps all, slowly: it pushes one at a time to each destination. It is nobody's product.
+// Package planted is a dispatcher that breaks one rule on purpose. Tests use it to show that the laboratory's checker
+// detects violations. With no rule to break it keeps all of them by pushing slowly, one notification at a time to each
+// destination. It is not meant for any other use.
 package planted
 
 import (
@@ -20,39 +21,41 @@
 )
 
 const (
-	spacing  = 100 * time.Millisecond // between two pushes to a destination
-	patience = time.Second            // for an answer
-	hammers  = 40                     // pushes at once by one that pushes over
-	every    = 5                      // one notification of so many is lost by one that loses
-	stop     = 400 * time.Millisecond // after a refusal that tells no wait
-	crashAt  = 1500 * time.Millisecond
+	pushInterval    = 100 * time.Millisecond  // after a delivery, before the next push to the destination
+	answerTimeout   = time.Second             // limit of a push
+	overloadPushers = 40                      // concurrent pushes to a failing destination when breaking rules.Overload
+	lossInterval    = 5                       // one in lossInterval notifications is dropped when breaking rules.Lost
+	minRetryWait    = 400 * time.Millisecond  // least pause after a failed push
+	crashAfter      = 1500 * time.Millisecond // the process exits after this time when breaking rules.Crash
 )
 
+// message is an accepted notification.
 type message struct {
-	id, topic, dest, mark string
-	body                  []byte
-	until                 time.Time
-	mayHaveRun            bool
+	id, topic, dest, idempotencyKey string
+	body                            []byte
+	deadline                        time.Time
+	mayHaveRun                      bool
 }
 
+// dispatcher is the state of the process. mu guards the fields below it.
 type dispatcher struct {
-	breaks  string
-	agent   string
-	once    map[string]bool // topic types
-	client  *http.Client
-	lock    sync.Mutex
-	servers map[string]platform.Server
-	lines   map[string]chan *message // by destination
-	waits   map[string]time.Time
-	taken   int
+	brokenRule string // "" to keep all rules
+	agentAddr  string
+	onceOnly   map[string]bool // by topic type: repeats are forbidden
+	client     *http.Client
+	mu         sync.Mutex
+	servers    map[string]platform.Server // the list of endpoints, by id
+	queues     map[string]chan *message   // by destination
+	waitUntil  map[string]time.Time       // by destination: no push before this time
+	accepted   int
 }
 
-// Run serves as a dispatcher that breaks a rule; "" for none. It ends with the process.
-func Run(getenv func(string) string, breaks string) error {
-	if breaks != "" && !slices.Contains(rules.All, breaks) {
-		return fmt.Errorf("no rule %q: give one of %s", breaks, strings.Join(rules.All, ", "))
+// Run runs a dispatcher that breaks the given rule, or none if it is "". It returns only with an error.
+func Run(getenv func(string) string, brokenRule string) error {
+	if brokenRule != "" && !slices.Contains(rules.All, brokenRule) {
+		return fmt.Errorf("unknown rule %q: must be one of %s", brokenRule, strings.Join(rules.All, ", "))
 	}
-	text, err := os.ReadFile(getenv("ROUTER_CONFIG"))
+	configJSON, err := os.ReadFile(getenv("ROUTER_CONFIG"))
 	if err != nil {
 		return err
 	}
@@ -62,30 +65,30 @@
 			Classes []struct{ Name, Repeat string }
 		}
 	}
-	if err := json.Unmarshal(text, &config); err != nil {
+	if err := json.Unmarshal(configJSON, &config); err != nil {
 		return err
 	}
-	d := &dispatcher{breaks: breaks, agent: getenv("ROUTER_DISCOVERY"), once: map[string]bool{}, servers: map[string]platform.Server{},
-		lines: map[string]chan *message{}, waits: map[string]time.Time{},
-		client: &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}}
-	for _, c := range config.Settings.Classes {
-		d.once[c.Name] = c.Repeat == "single_shot"
+	d := &dispatcher{brokenRule: brokenRule, agentAddr: getenv("ROUTER_DISCOVERY"), onceOnly: map[string]bool{}, servers: map[string]platform.Server{},
+		queues: map[string]chan *message{}, waitUntil: map[string]time.Time{},
+		client: &http.Client{Timeout: answerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	for _, class := range config.Settings.Classes {
+		d.onceOnly[class.Name] = class.Repeat == "single_shot"
 	}
-	d.take(config.Known)
-	go d.follow(config.Known.Version)
+	d.applyList(config.Known)
+	go d.watchList(config.Known.Version)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_health", func(http.ResponseWriter, *http.Request) {})
-	mux.HandleFunc("POST /api", d.hand)
-	if breaks == rules.Crash {
-		time.AfterFunc(crashAt, func() { os.Exit(1) })
+	mux.HandleFunc("POST /api", d.handle)
+	if brokenRule == rules.Crash {
+		time.AfterFunc(crashAfter, func() { os.Exit(1) })
 	}
 	return http.ListenAndServe(getenv("ROUTER_LISTEN"), mux)
 }
 
-// take takes a list in.
-func (d *dispatcher) take(l platform.List) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
+// applyList applies a whole list, or the changes of one, to the known endpoints.
+func (d *dispatcher) applyList(l platform.List) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if l.Full {
 		clear(d.servers)
 	}
@@ -96,10 +99,10 @@
 	}
 }
 
-// follow watches the list.
-func (d *dispatcher) follow(version int64) {
+// watchList follows the changes of the list by long polls.
+func (d *dispatcher) watchList(version int64) {
 	for {
-		resp, err := http.Get(fmt.Sprintf("http://%s/catalog/members?from=%d&hold_ms=5000", d.agent, version))
+		resp, err := http.Get(fmt.Sprintf("http://%s/catalog/members?from=%d&hold_ms=5000", d.agentAddr, version))
 		if err != nil {
 			time.Sleep(100 * time.Millisecond)
 			continue
@@ -107,84 +110,85 @@
 		var l platform.List
 		if json.NewDecoder(resp.Body).Decode(&l) == nil {
 			version = l.Version
-			if d.breaks != rules.Draining { // that one hears of drains and goes on
-				d.take(l)
+			if d.brokenRule != rules.Draining { // breaking it means to ignore all changes, drains included
+				d.applyList(l)
 			}
 		}
 		_ = resp.Body.Close()
 	}
 }
 
-// hand takes a message on.
-func (d *dispatcher) hand(w http.ResponseWriter, r *http.Request) {
+// handle accepts a notification and queues it for its destination.
+func (d *dispatcher) handle(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	left, err2 := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Budget"), "m"))
-	if err != nil || err2 != nil {
+	budgetMS, budgetErr := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Budget"), "m"))
+	if err != nil || budgetErr != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	m := &message{id: r.Header.Get("X-Call-Id"), topic: r.Header.Get("X-Call-Class"), mark: r.Header.Get("Idempotency-Key"),
+	m := &message{id: r.Header.Get("X-Call-Id"), topic: r.Header.Get("X-Call-Class"), idempotencyKey: r.Header.Get("Idempotency-Key"),
 		dest: strings.TrimPrefix(r.Header.Get("X-Addressing"), "dest="), body: body,
-		until: time.Now().Add(time.Duration(left) * time.Millisecond)}
-	d.lock.Lock()
-	d.taken++
-	drop := d.breaks == rules.Lost && d.taken%every == 0
-	line := d.lines[m.dest]
-	if line == nil {
-		line = make(chan *message, 10_000)
-		d.lines[m.dest] = line
+		deadline: time.Now().Add(time.Duration(budgetMS) * time.Millisecond)}
+	d.mu.Lock()
+	d.accepted++
+	drop := d.brokenRule == rules.Lost && d.accepted%lossInterval == 0
+	queue := d.queues[m.dest]
+	if queue == nil {
+		queue = make(chan *message, 10_000)
+		d.queues[m.dest] = queue
 		go func() {
-			for m := range line {
-				d.carry(m)
+			for m := range queue {
+				d.deliver(m)
 			}
 		}()
 	}
-	d.lock.Unlock()
+	d.mu.Unlock()
 	w.WriteHeader(http.StatusAccepted)
 	switch {
 	case drop:
-	case d.breaks == rules.Order:
-		go d.carry(m)
+	case d.brokenRule == rules.Order:
+		go d.deliver(m)
 	default:
-		line <- m
+		queue <- m
 	}
 }
 
-// carry pushes a message until it is over.
-func (d *dispatcher) carry(m *message) {
-	for time.Until(m.until) > patience {
-		d.lock.Lock()
-		wait := time.Until(d.waits[m.dest])
-		d.lock.Unlock()
+// deliver pushes a notification until it is delivered, may not be repeated, or is too close to its deadline. A
+// notification that is not delivered is reported to the agent.
+func (d *dispatcher) deliver(m *message) {
+	for time.Until(m.deadline) > answerTimeout {
+		d.mu.Lock()
+		wait := time.Until(d.waitUntil[m.dest])
+		d.mu.Unlock()
 		if wait > 0 {
-			time.Sleep(min(wait, time.Until(m.until)))
+			time.Sleep(min(wait, time.Until(m.deadline)))
 			continue
 		}
-		status, told := d.push(m)
+		status, retryAfter := d.push(m)
 		if status == http.StatusOK {
-			time.Sleep(spacing)
+			time.Sleep(pushInterval)
 			return
 		}
-		never := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == -1
-		if m.mayHaveRun = m.mayHaveRun || !never; m.mayHaveRun && d.once[m.topic] && d.breaks != rules.Duplicate {
+		notRun := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == -1
+		if m.mayHaveRun = m.mayHaveRun || !notRun; m.mayHaveRun && d.onceOnly[m.topic] && d.brokenRule != rules.Duplicate {
 			break
 		}
-		if d.breaks == rules.Overload {
-			d.hammer(m)
+		if d.brokenRule == rules.Overload {
+			d.overload(m)
 		}
-		d.lock.Lock()
-		if d.waits[m.dest] = time.Now().Add(max(told, stop)); d.breaks == rules.ToldWait {
-			d.waits[m.dest] = time.Now().Add(2 * spacing)
+		d.mu.Lock()
+		if d.waitUntil[m.dest] = time.Now().Add(max(retryAfter, minRetryWait)); d.brokenRule == rules.ToldWait {
+			d.waitUntil[m.dest] = time.Now().Add(2 * pushInterval)
 		}
-		d.lock.Unlock()
+		d.mu.Unlock()
 	}
 	outcome := "handed_back"
 	if m.mayHaveRun {
 		outcome = "given_up"
 	}
-	line, _ := json.Marshal(map[string]string{"message": m.id, "outcome": outcome}) // strings always marshal
+	notice, _ := json.Marshal(map[string]string{"message": m.id, "outcome": outcome}) // marshalling strings cannot fail
 	for range 20 {
-		resp, err := http.Post("http://"+d.agent+"/v1/notices", "application/x-ndjson", bytes.NewReader(line))
+		resp, err := http.Post("http://"+d.agentAddr+"/v1/notices", "application/x-ndjson", bytes.NewReader(notice))
 		if err == nil {
 			_ = resp.Body.Close()
 			return
@@ -193,32 +197,34 @@
 	}
 }
 
-// hammer sends what it has for a destination that fails as fast as it can, until that answers.
-func (d *dispatcher) hammer(m *message) {
-	var all sync.WaitGroup
-	for range hammers {
-		all.Go(func() {
-			for time.Until(m.until) > patience {
+// overload pushes a notification to a failing destination many times in parallel, until each push was answered with 200
+// or the deadline is near.
+func (d *dispatcher) overload(m *message) {
+	var pushers sync.WaitGroup
+	for range overloadPushers {
+		pushers.Go(func() {
+			for time.Until(m.deadline) > answerTimeout {
 				if status, _ := d.push(m); status == http.StatusOK {
 					return
 				}
-				time.Sleep(spacing / 2)
+				time.Sleep(pushInterval / 2)
 			}
 		})
 	}
-	all.Wait()
+	pushers.Wait()
 }
 
-// push makes one call: its status, 0 for none and -1 for no connection, and the wait told.
+// push makes one call. It returns the status and the wait of Retry-After (0: none). The status is 0 if there was no
+// answer, and -1 if no call was made, for want of an endpoint or a connection.
 func (d *dispatcher) push(m *message) (int, time.Duration) {
 	addr := ""
-	d.lock.Lock()
-	for _, id := range sorted(d.servers) {
+	d.mu.Lock()
+	for _, id := range sortedIDs(d.servers) {
 		if s := d.servers[id]; s.Cell.String() == m.dest && s.State == "ready" {
 			addr = s.Addr
 		}
 	}
-	d.lock.Unlock()
+	d.mu.Unlock()
 	if addr == "" {
 		return -1, 0
 	}
@@ -227,9 +233,9 @@
 		return -1, 0
 	}
 	req.Header.Set("X-Call-Id", m.id)
-	req.Header.Set("X-Budget", strconv.Itoa(int(patience.Milliseconds()))+"m")
-	if m.mark != "" {
-		req.Header.Set("Idempotency-Key", m.mark)
+	req.Header.Set("X-Budget", strconv.Itoa(int(answerTimeout.Milliseconds()))+"m")
+	if m.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", m.idempotencyKey)
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
@@ -239,12 +245,12 @@
 		return 0, 0
 	}
 	_ = resp.Body.Close()
-	wait, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // none is 0
+	wait, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // 0 without the header
 	return resp.StatusCode, time.Duration(wait * float64(time.Second))
 }
 
-// sorted lists the ids of a list, so that the last ready one is chosen each time.
-func sorted(servers map[string]platform.Server) []string {
+// sortedIDs returns the ids of the known endpoints in order, so that push chooses the same one each time.
+func sortedIDs(servers map[string]platform.Server) []string {
 	var ids []string
 	for id := range servers {
 		ids = append(ids, id)
