--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -53,11 +53,11 @@
 	running     sync.WaitGroup
 }
 
-// process is a dispatcher and its current process. mu guards the fields below it.
+// process is the state of one dispatcher and of its current operating-system process. mu guards the fields below it.
 type process struct {
 	index         int
 	stateDir      string
-	faultMu       sync.Mutex // held while a trouble acts on the dispatcher, so that troubles do not overlap
+	faultMu       sync.Mutex // held while a trouble acts on the dispatcher, so that only moves of its agent overlap with others
 	mu            sync.Mutex
 	cmd           *exec.Cmd
 	startedAt     time.Time     // of the current process
--- a/lab/loop/loop.go
+++ b/lab/loop/loop.go
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:9000", n, 2+listener/perSubnet, 1+listener%perSubnet)
 }
 
-// Clock measures the seconds since a run began. Until Start is called it stands at -1.
+// Clock measures the seconds since a run began. Until Start is called Now returns -1.
 type Clock struct{ start atomic.Pointer[time.Time] }
 
 // Start starts the clock at 0.
--- a/lab/planted/planted.go
+++ b/lab/planted/planted.go
@@ -215,7 +215,7 @@
 }
 
 // push makes one call. It returns the status and the wait of Retry-After (0: none). The status is 0 if there was no
-// answer, and -1 if no call was made, for want of an endpoint or a connection.
+// answer, and -1 if no call was made because there was no ready endpoint or the connection was refused.
 func (d *dispatcher) push(m *message) (int, time.Duration) {
 	addr := ""
 	d.mu.Lock()
