--- a/lab/behaviour/behaviour.go
+++ b/lab/behaviour/behaviour.go
@@ -1,5 +1,6 @@
-// Package behaviour says how a partner's system behaves: its limit, slots and queue, cold start, and faults. It does no
-// I/O and knows no clock, so that sockets and virtual time can share it.
+// Package behaviour models a partner's system: its rate limit, slots and queue, slow start, and faults. It does no I/O and
+// reads no clock: callers pass in the time, in seconds since the start of the run, so that the model serves both real
+// sockets and virtual time.
 package behaviour
 
 import (
@@ -16,68 +17,69 @@
 // CallEnd is how a call ends at the endpoint.
 type CallEnd int
 
-// The ways.
+// The ends of a call.
 const (
 	Answered          CallEnd = iota // with a status
-	NoAnswer                         // never
-	ConnectionReset                  // the connection is reset in the place of an answer
-	AnswerTruncated                  // the answer breaks off in the middle
-	AnswerCorrupted                  // the answer cannot be read
-	AnsweredLate                     // it comes whole just after the first TTL in the call, and counts as none
-	ClosedAfterAnswer                // the answer is good, and the connection is closed untold behind it
+	NoAnswer                         // the endpoint never answers
+	ConnectionReset                  // the connection is reset instead of an answer
+	AnswerTruncated                  // the connection ends in the middle of the answer
+	AnswerCorrupted                  // the answer cannot be parsed
+	AnsweredLate                     // the whole answer comes just after the earliest TTL in the call and counts as none
+	ClosedAfterAnswer                // a good answer, after which the connection is closed without a Connection: close header
 )
 
-// Outcome is what becomes of a call.
+// Outcome is the result of a call.
 type Outcome struct {
 	End           CallEnd
-	Delay         float64 // seconds until then
-	Status        int
-	ToldWait      float64 // told; 0: none
-	States        []record.PushState
-	Ran           []bool
+	Delay         float64            // seconds from the arrival of the call to its end
+	Status        int                // HTTP status
+	ToldWait      float64            // seconds; 0: the answer gives none
+	States        []record.PushState // outcome that the answer reports, for each notification
+	Ran           []bool             // whether the push was really executed, for each notification
 	HasLoadReport bool
-	LoadShare     float64 // of the limit, left
-	LoadLimit     float64
-	Cause         string // the fault that made it so
+	LoadShare     float64 // share of the limit that is left, 0 to 1
+	LoadLimit     float64 // calls per second
+	Cause         string  // the fault or limit that made the outcome; empty for none
 }
 
-// Partner is one destination's system.
+// Partner is the system of one destination. It is not safe for concurrent use.
 type Partner struct {
-	world  *scenario.World
-	spec   scenario.Partner
-	tokens float64 // of a plain rate
-	filled float64 // when they were counted last
-	span   float64 // of a windowed limit: the number of the span
-	used   int     // in it
-	slots  [][]float64
-	starts [][]float64 // by endpoint: when the calls in its queue will start
-	strain OverloadDetector
-	fallen bool
+	world        *scenario.World
+	spec         scenario.Partner
+	tokens       float64     // token bucket of a plain rate limit
+	tokensAt     float64     // when tokens was last computed
+	window       float64     // number of the current window of a windowed limit
+	windowCalls  int         // calls counted in the current window
+	slotFreeAt   [][]float64 // by endpoint: when each of its slots becomes free
+	queuedStarts [][]float64 // by endpoint: when the calls in its queue will start
+	overload     OverloadDetector
+	collapsed    bool
 }
 
-// New returns a partner of a world, at rest.
+// New returns an idle partner of a world.
 func New(w *scenario.World, spec scenario.Partner) *Partner {
-	p := &Partner{world: w, spec: spec, tokens: burst(spec.Rate)}
+	p := &Partner{world: w, spec: spec, tokens: burstSize(spec.Rate)}
 	for range spec.Endpoints {
-		p.slots = append(p.slots, make([]float64, spec.SlotsPerEndpoint))
-		p.starts = append(p.starts, nil)
+		p.slotFreeAt = append(p.slotFreeAt, make([]float64, spec.SlotsPerEndpoint))
+		p.queuedStarts = append(p.queuedStarts, nil)
 	}
-	p.strain = OverloadDetector{OverloadFactor: w.Recovery.OverloadFactor, Span: w.Recovery.OverloadSpan, Capacity: p.capacity}
+	p.overload = OverloadDetector{OverloadFactor: w.Recovery.OverloadFactor, Span: w.Recovery.OverloadSpan, Capacity: p.capacity}
 	return p
 }
 
-// burst is how many calls a plain rate lets through at once.
-func burst(rate float64) float64 { return max(2, rate/2) }
+// burstSize returns how many calls a plain rate limit admits at once.
+func burstSize(rate float64) float64 { return max(2, rate/2) }
 
+// capacity returns the calls per second that the partner can take at a time, less than its rate during slow start.
 func (p *Partner) capacity(now float64) float64 {
 	return p.spec.Rate * p.world.CapacityShare(p.spec.Dest, now)
 }
 
-// Collapsed tells whether it was pushed over.
-func (p *Partner) Collapsed() bool { return p.fallen }
+// Collapsed reports whether overload during slow start has brought the partner down. It stays down.
+func (p *Partner) Collapsed() bool { return p.collapsed }
 
-// hit returns the fault of a kind that acts on an endpoint now.
-func (p *Partner) hit(kind string, now float64, e scenario.Endpoint) *scenario.Fault {
+// activeFault returns the first fault of a kind that acts on an endpoint at a time, or nil.
+func (p *Partner) activeFault(kind string, now float64, e scenario.Endpoint) *scenario.Fault {
 	i := slices.IndexFunc(p.world.Faults, func(f scenario.Fault) bool { return f.ActiveOn(kind, now, e) })
 	if i < 0 {
 		return nil
@@ -85,198 +87,201 @@
 	return &p.world.Faults[i]
 }
 
-// chance is that of one push of one notification: the same in each run, whatever else happens.
-func (p *Partner) chance(id string, call int) *rand.Rand {
-	return rand.New(rand.NewPCG(p.world.Seed, xxhash.Sum64String(id)+uint64(call)))
+// random returns the random source of one push of a notification. It depends only on the seed, the ID and the number of the
+// push, so that a push gets the same draws in each run, whatever else happens.
+func (p *Partner) random(id string, push int) *rand.Rand {
+	return rand.New(rand.NewPCG(p.world.Seed, xxhash.Sum64String(id)+uint64(push)))
 }
 
-// AcceptsConnections tells whether an endpoint takes connections: it is there, and nothing keeps it from that.
+// AcceptsConnections reports whether an endpoint is listening: it is part of the destination and no fault refuses
+// connections.
 func (p *Partner) AcceptsConnections(now float64, index int) bool {
 	e := p.spec.Endpoints[index]
-	return now >= e.AddedAt && (e.RemovedAt == 0 || now < e.RemovedAt+linger) && p.hit(scenario.RefuseConnections, now, e) == nil
+	return now >= e.AddedAt && (e.RemovedAt == 0 || now < e.RemovedAt+removalGrace) && p.activeFault(scenario.RefuseConnections, now, e) == nil
 }
 
-// linger is how long an endpoint that has gone still takes connections.
-const linger = 1.0
+// removalGrace is how long a removed endpoint still accepts connections, in seconds.
+const removalGrace = 1.0
 
-// Call is what a partner sees of a call: its notifications, whether its connection was used before, and how many calls
-// came before it with its first notification.
+// Call is what a partner sees of a call.
 type Call struct {
 	IDs           []string
-	Reused        bool
-	PreviousCalls int
+	Reused        bool // the connection carried a call before
+	PreviousCalls int  // earlier calls with the first of the notifications
 }
 
-// HandleCall tells the fate of a call whose last byte has just come to an endpoint.
+// HandleCall returns the outcome of a call whose last byte has just arrived at an endpoint.
 func (p *Partner) HandleCall(now float64, index int, c Call) Outcome {
 	e := p.spec.Endpoints[index]
-	chance := p.chance(c.IDs[0], c.PreviousCalls)
-	if !p.world.InOutage(p.spec.Dest, now) && p.world.CapacityShare(p.spec.Dest, now) < 1 && p.strain.AddCall(now) {
-		p.fallen = true
+	random := p.random(c.IDs[0], c.PreviousCalls)
+	if !p.world.InOutage(p.spec.Dest, now) && p.world.CapacityShare(p.spec.Dest, now) < 1 && p.overload.AddCall(now) {
+		p.collapsed = true
 	}
-	if f := p.hit(scenario.BreakReused, now, e); f != nil && c.Reused && chance.Float64() < f.Share {
-		return all(c, Outcome{End: ConnectionReset, Cause: f.Kind}, false)
+	if f := p.activeFault(scenario.BreakReused, now, e); f != nil && c.Reused && random.Float64() < f.Share {
+		return uniform(c, Outcome{End: ConnectionReset, Cause: f.Kind}, false)
 	}
-	if p.fallen {
-		return all(c, Outcome{Status: 503, Cause: "fallen over"}, false)
+	if p.collapsed {
+		return uniform(c, Outcome{Status: 503, Cause: "fallen over"}, false)
 	}
-	if f := p.hit(scenario.Hang, now, e); f != nil {
-		return all(c, Outcome{End: NoAnswer, Cause: f.Kind}, false)
+	if f := p.activeFault(scenario.Hang, now, e); f != nil {
+		return uniform(c, Outcome{End: NoAnswer, Cause: f.Kind}, false)
 	}
-	if f := p.hit(scenario.RejectAll, now, e); f != nil {
-		fate := Outcome{Status: 503, Cause: f.Kind}
+	if f := p.activeFault(scenario.RejectAll, now, e); f != nil {
+		outcome := Outcome{Status: 503, Cause: f.Kind}
 		if f.Announced {
-			fate.Status, fate.ToldWait = 429, max(f.End()-now, p.spec.Kind.MinToldWait)
+			outcome.Status, outcome.ToldWait = 429, max(f.End()-now, p.spec.Kind.MinToldWait)
 		}
-		return all(c, fate, false)
+		return uniform(c, outcome, false)
 	}
 	if wait, ok := p.admit(now, e); !ok {
-		fate := Outcome{Status: 503}
-		if chance.Float64() < p.spec.Kind.ToldWaitShare {
-			fate.Status, fate.ToldWait = 429, max(wait, p.spec.Kind.MinToldWait)
+		outcome := Outcome{Status: 503}
+		if random.Float64() < p.spec.Kind.ToldWaitShare {
+			outcome.Status, outcome.ToldWait = 429, max(wait, p.spec.Kind.MinToldWait)
 		}
-		return p.report(now, e, all(c, fate, false))
+		return p.addLoadReport(now, e, uniform(c, outcome, false))
 	}
-	if f := p.hit(scenario.FailCalls, now, e); f != nil {
-		return p.report(now, e, p.erring(c, f, chance))
+	if f := p.activeFault(scenario.FailCalls, now, e); f != nil {
+		return p.addLoadReport(now, e, p.failShare(c, f, random))
 	}
-	after, ok := p.serve(now, e, chance)
+	delay, ok := p.reserveSlot(now, e, random)
 	if !ok {
-		return p.report(now, e, all(c, Outcome{Status: 503, Cause: "queue full"}, false))
+		return p.addLoadReport(now, e, uniform(c, Outcome{Status: 503, Cause: "queue full"}, false))
 	}
-	fate := Outcome{Status: 200, Delay: after}
-	for _, odd := range []struct {
+	outcome := Outcome{Status: 200, Delay: delay}
+	for _, fault := range []struct {
 		kind string
-		way  CallEnd
+		end  CallEnd
 	}{{scenario.LoseAnswers, NoAnswer}, {scenario.ResetConnections, ConnectionReset}, {scenario.LateAnswers, AnsweredLate}, {scenario.TruncateAnswers, AnswerTruncated}, {scenario.CorruptAnswers, AnswerCorrupted}, {scenario.CloseAfterAnswer, ClosedAfterAnswer}} {
-		if f := p.hit(odd.kind, now, e); f != nil && chance.Float64() < f.Share {
-			fate.End, fate.Cause = odd.way, f.Kind
+		if f := p.activeFault(fault.kind, now, e); f != nil && random.Float64() < f.Share {
+			outcome.End, outcome.Cause = fault.end, f.Kind
 			break
 		}
 	}
-	return p.report(now, e, all(c, fate, true))
+	return p.addLoadReport(now, e, uniform(c, outcome, true))
 }
 
-// all gives each notification of a call the same end.
-func all(c Call, f Outcome, ran bool) Outcome {
+// uniform completes an outcome with the same state for each notification of the call.
+func uniform(c Call, o Outcome, ran bool) Outcome {
 	state := record.Unreadable
 	switch {
-	case f.End == NoAnswer || f.End == ConnectionReset || f.End == AnsweredLate:
+	case o.End == NoAnswer || o.End == ConnectionReset || o.End == AnsweredLate:
 		state = record.Unanswered
-	case (f.End == Answered || f.End == ClosedAfterAnswer) && f.Status == 200:
+	case (o.End == Answered || o.End == ClosedAfterAnswer) && o.Status == 200:
 		state = record.Delivered
-	case f.End == Answered && f.Status == 500:
+	case o.End == Answered && o.Status == 500:
 		state = record.Failed
-	case f.End == Answered:
+	case o.End == Answered:
 		state = record.Throttled
 	}
 	for range c.IDs {
-		f.States, f.Ran = append(f.States, state), append(f.Ran, ran)
+		o.States, o.Ran = append(o.States, state), append(o.Ran, ran)
 	}
-	return f
+	return o
 }
 
-// erring fails a share of a call's notifications soon; half of those that fail have run.
-func (p *Partner) erring(c Call, f *scenario.Fault, chance *rand.Rand) Outcome {
-	const soon = 0.005
-	fate := Outcome{Status: 200, Delay: soon, Cause: f.Kind}
+// failShare fails a share of a call's notifications, after a short delay. Half of those that fail have been executed.
+func (p *Partner) failShare(c Call, f *scenario.Fault, random *rand.Rand) Outcome {
+	const delay = 0.005 // seconds
+	outcome := Outcome{Status: 200, Delay: delay, Cause: f.Kind}
 	failed := 0
 	for range c.IDs {
-		if chance.Float64() < f.Share {
-			fate.States, fate.Ran = append(fate.States, record.Failed), append(fate.Ran, chance.IntN(2) == 0)
+		if random.Float64() < f.Share {
+			outcome.States, outcome.Ran = append(outcome.States, record.Failed), append(outcome.Ran, random.IntN(2) == 0)
 			failed++
 		} else {
-			fate.States, fate.Ran = append(fate.States, record.Delivered), append(fate.Ran, true)
+			outcome.States, outcome.Ran = append(outcome.States, record.Delivered), append(outcome.Ran, true)
 		}
 	}
 	if failed == len(c.IDs) {
-		fate.Status = 500
+		outcome.Status = 500
 	}
-	return fate
+	return outcome
 }
 
-// admit spends the limit. Where it is spent it tells when there is some again.
+// admit counts a call against the rate limit and reports whether the limit admits it. If not, it returns the seconds until
+// the limit admits a call again.
 func (p *Partner) admit(now float64, e scenario.Endpoint) (float64, bool) {
 	limit := p.RateLimit(now, e)
 	switch p.spec.Kind.LimitKind {
 	case scenario.RateLimit:
-		p.tokens = min(burst(limit), p.tokens+(now-p.filled)*limit)
-		p.filled = now
+		p.tokens = min(burstSize(limit), p.tokens+(now-p.tokensAt)*limit)
+		p.tokensAt = now
 		if p.tokens >= 1 {
 			p.tokens--
 			return 0, true
 		}
 		if p.spec.Kind.CountRejected {
-			p.tokens = max(p.tokens-1, -burst(limit))
+			p.tokens = max(p.tokens-1, -burstSize(limit))
 		}
 		return (1 - p.tokens) / limit, false
 	case scenario.WindowLimit:
-		span := p.spec.Kind.LimitWindow
-		if n := math.Floor(now / span); n != p.span {
-			p.span, p.used = n, 0
+		length := p.spec.Kind.LimitWindow
+		if n := math.Floor(now / length); n != p.window {
+			p.window, p.windowCalls = n, 0
 		}
-		if float64(p.used) < math.Floor(max(1, limit*span)) {
-			p.used++
+		if float64(p.windowCalls) < math.Floor(max(1, limit*length)) {
+			p.windowCalls++
 			return 0, true
 		}
 		if p.spec.Kind.CountRejected {
-			p.used++
+			p.windowCalls++
 		}
-		return (p.span+1)*span - now, false
+		return (p.window+1)*length - now, false
 	}
 	return 0, true
 }
 
-// RateLimit is the calls a second that the partner lets through now.
+// RateLimit returns the calls per second that the partner admits at a time.
 func (p *Partner) RateLimit(now float64, e scenario.Endpoint) float64 {
-	if f := p.hit(scenario.ChangeLimit, now, e); f != nil {
+	if f := p.activeFault(scenario.ChangeLimit, now, e); f != nil {
 		return p.spec.Rate * f.Factor
 	}
 	return p.spec.Rate
 }
 
-// report says in an answer what is left of the limit. A limit that changed untold is told as it was.
-func (p *Partner) report(now float64, e scenario.Endpoint, f Outcome) Outcome {
+// addLoadReport adds what is left of the limit to an outcome, where the partner reports it. While a limit is changed without
+// announcement, the report is given in terms of the old limit.
+func (p *Partner) addLoadReport(now float64, e scenario.Endpoint, o Outcome) Outcome {
 	if !p.spec.Kind.ReportsLoad || p.spec.Kind.LimitKind == scenario.NoLimit {
-		return f
+		return o
 	}
 	limit := p.RateLimit(now, e)
 	left := max(0, p.tokens)
 	if p.spec.Kind.LimitKind == scenario.WindowLimit {
-		left = max(0, limit-float64(p.used)/p.spec.Kind.LimitWindow)
+		left = max(0, limit-float64(p.windowCalls)/p.spec.Kind.LimitWindow)
 	}
-	if x := p.hit(scenario.ChangeLimit, now, e); x != nil && !x.Announced {
+	if f := p.activeFault(scenario.ChangeLimit, now, e); f != nil && !f.Announced {
 		left, limit = left*p.spec.Rate/limit, p.spec.Rate
 	}
-	f.HasLoadReport, f.LoadLimit, f.LoadShare = true, limit, min(1, left/limit)
-	return f
+	o.HasLoadReport, o.LoadLimit, o.LoadShare = true, limit, min(1, left/limit)
+	return o
 }
 
-// serve books a slot, or a place in the queue before one, and gives the time until the work is done. Work goes on
-// although its caller may leave.
-func (p *Partner) serve(now float64, e scenario.Endpoint, chance *rand.Rand) (float64, bool) {
-	p.starts[e.Index] = slices.DeleteFunc(p.starts[e.Index], func(at float64) bool { return at <= now })
-	slots := p.slots[e.Index]
-	free := 0
+// reserveSlot reserves a slot for a call, or a place in the queue for one, and returns the seconds until the call is served.
+// It reports false when the queue is full. The slot stays reserved even if the caller closes the connection.
+func (p *Partner) reserveSlot(now float64, e scenario.Endpoint, random *rand.Rand) (float64, bool) {
+	p.queuedStarts[e.Index] = slices.DeleteFunc(p.queuedStarts[e.Index], func(at float64) bool { return at <= now })
+	slots := p.slotFreeAt[e.Index]
+	first := 0
 	for i, at := range slots {
-		if at < slots[free] {
-			free = i
+		if at < slots[first] {
+			first = i
 		}
 	}
-	start := max(now, slots[free])
+	start := max(now, slots[first])
 	if start > now {
-		if len(p.starts[e.Index]) >= p.spec.Kind.QueueLength {
+		if len(p.queuedStarts[e.Index]) >= p.spec.Kind.QueueLength {
 			return 0, false
 		}
-		p.starts[e.Index] = append(p.starts[e.Index], start)
+		p.queuedStarts[e.Index] = append(p.queuedStarts[e.Index], start)
 	}
-	work := p.spec.ServiceTime * math.Exp(p.spec.ServiceSigma*chance.NormFloat64())
-	if !p.world.InOutage(p.spec.Dest, now) { // what still works in an outage is as fast as before
+	work := p.spec.ServiceTime * math.Exp(p.spec.ServiceSigma*random.NormFloat64())
+	if !p.world.InOutage(p.spec.Dest, now) { // calls that are still served during an outage take their usual time
 		work /= p.world.CapacityShare(p.spec.Dest, now)
 	}
-	if f := p.hit(scenario.SlowAnswers, now, e); f != nil {
+	if f := p.activeFault(scenario.SlowAnswers, now, e); f != nil {
 		work *= f.Factor
 	}
-	slots[free] = start + work
+	slots[first] = start + work
 	return start + work - now, true
 }
--- a/lab/behaviour/strain.go
+++ b/lab/behaviour/strain.go
@@ -2,24 +2,24 @@
 
 import "orchiddrift/invariant"
 
-// OverloadDetector tells when a destination in slow start falls: when it was sent more calls in a span than a multiple of what it can
-// take then, with what the operators' terms grant to chance.
+// OverloadDetector detects when a destination in slow start is overloaded: when the calls within a sliding window exceed
+// OverloadFactor times its capacity, plus the margin that the operators' terms allow for chance.
 type OverloadDetector struct {
 	OverloadFactor float64
-	Span           float64                   // seconds
-	Capacity       func(now float64) float64 // calls a second
-	calls          []float64
+	Span           float64                   // length of the window, in seconds
+	Capacity       func(now float64) float64 // calls per second
+	calls          []float64                 // times of the calls in the window
 }
 
-// AddCall takes in a call and tells whether the destination falls over with it. Calls come in the order of their times.
-func (s *OverloadDetector) AddCall(now float64) bool {
-	s.calls = append(s.calls, now)
-	for len(s.calls) > 0 && s.calls[0] <= now-s.Span {
-		s.calls = s.calls[1:]
+// AddCall records a call and reports whether the destination is overloaded with it. Calls must come in order of time.
+func (d *OverloadDetector) AddCall(now float64) bool {
+	d.calls = append(d.calls, now)
+	for len(d.calls) > 0 && d.calls[0] <= now-d.Span {
+		d.calls = d.calls[1:]
 	}
-	const middle = 0.5 // of the span: what it can take grows meanwhile
-	return float64(len(s.calls)) > invariant.RecoveryBudget(s.OverloadFactor*s.Capacity(now-middle*s.Span)*s.Span)
+	const middle = 0.5 // share of the window; capacity grows during it, so its value at the middle stands for the whole
+	return float64(len(d.calls)) > invariant.RecoveryBudget(d.OverloadFactor*d.Capacity(now-middle*d.Span)*d.Span)
 }
 
-// RecentCalls are those of the span so far.
-func (s *OverloadDetector) RecentCalls() []float64 { return s.calls }
+// RecentCalls returns the times of the calls in the window.
+func (d *OverloadDetector) RecentCalls() []float64 { return d.calls }
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -1,5 +1,6 @@
-// Package record holds what the parts of the laboratory saw, each with its own eyes: clients, partners, the agent and
-// those who start processes. The dispatcher's own word is not in it. Times are seconds since the run began.
+// Package record holds what the parts of the laboratory observed during a run: clients, partners, the platform's agent, and
+// the code that starts and signals processes. It contains nothing that a dispatcher reports about itself. All times are
+// seconds since the start of the run.
 package record
 
 import (
@@ -11,41 +12,41 @@
 	"sync"
 )
 
-// HandIn is one try of a client to hand in a notification. Each has an id of its own.
+// HandIn is one try of a client to hand in a notification. Each try has its own ID.
 type HandIn struct {
 	ID            string  `json:"id"`
-	PlanIndex     int     `json:"origin"` // the notification of the plan that it stands for
-	Try           int     `json:"try"`    // of it, from 0
+	PlanIndex     int     `json:"origin"` // index of the notification in the load plan
+	Try           int     `json:"try"`    // number of the try for that notification, from 0
 	Topic         string  `json:"topic"`
 	Tenant        string  `json:"tenant"`
 	Dest          int     `json:"dest"`
 	Key           string  `json:"key,omitempty"`
 	Dispatcher    int     `json:"dispatcher"`
-	PlannedAt     float64 `json:"planned"` // when the notification was to be handed in
+	PlannedAt     float64 `json:"planned"` // when the plan schedules the notification
 	SentAt        float64 `json:"sent"`
-	ExpiresAt     float64 `json:"until"` // when its TTL ends
+	ExpiresAt     float64 `json:"until"` // when the TTL of the notification ends
 	AnsweredAt    float64 `json:"answered,omitempty"`
-	Status        int     `json:"status,omitempty"` // 0: no answer
+	Status        int     `json:"status,omitempty"` // HTTP status; 0 without an answer
 	RetryAfter    float64 `json:"retry_after,omitempty"`
-	FailureReason string  `json:"why,omitempty"` // without an answer: refused, closed, or late
+	FailureReason string  `json:"why,omitempty"` // why there is no answer: refused, closed, or late
 }
 
-// Accepted tells whether a dispatcher took it on.
+// Accepted reports whether a dispatcher accepted the notification.
 func (h *HandIn) Accepted() bool { return h.Status == 200 || h.Status == 202 }
 
-// Refused tells whether its client was told that it has no effect and may come again.
+// Refused reports whether a dispatcher refused the notification without effect, so that the client may retry.
 func (h *HandIn) Refused() bool { return h.Status == 503 || h.Status == 429 }
 
-// PushState is what became of one notification in a call.
+// PushState is the outcome of one notification in a call.
 type PushState string
 
-// The states.
+// The outcomes of a push.
 const (
-	Delivered  PushState = "done"   // answered as delivered
-	Failed     PushState = "failed" // answered as failed
-	Throttled  PushState = "busy"   // turned away
-	Unanswered PushState = ""       // no answer
-	Unreadable PushState = "odd"    // an answer that cannot be read
+	Delivered  PushState = "done"   // the answer reports success
+	Failed     PushState = "failed" // the answer reports a failure
+	Throttled  PushState = "busy"   // the endpoint turned the notification away
+	Unanswered PushState = ""       // there was no answer
+	Unreadable PushState = "odd"    // the answer cannot be parsed
 )
 
 // Call is one call that reached an endpoint.
@@ -53,41 +54,41 @@
 	Endpoint     string      `json:"endpoint"`
 	Dest         int         `json:"dest"`
 	ConnID       int         `json:"conn"`
-	Reused       bool        `json:"reused,omitempty"`
-	IDs          []string    `json:"ids"`
-	FirstByteAt  float64     `json:"first"`          // its first byte came
-	LastByteAt   float64     `json:"last"`           // its last byte came
-	EndedAt      float64     `json:"end,omitempty"`  // its answer was written, or its connection ended; 0: neither
-	CallerClosed bool        `json:"left,omitempty"` // the caller ended the connection
-	Status       int         `json:"status,omitempty"`
-	ToldWait     float64     `json:"wait,omitempty"` // told
-	States       []PushState `json:"states"`         // as told, by id
-	Ran          []bool      `json:"ran"`            // as it was, by id
-	Cause        string      `json:"why,omitempty"`  // what the endpoint did on purpose
+	Reused       bool        `json:"reused,omitempty"` // the connection had carried a call before
+	IDs          []string    `json:"ids"`              // hand-ins that the call carries
+	FirstByteAt  float64     `json:"first"`            // when the first byte of the request arrived
+	LastByteAt   float64     `json:"last"`             // when the last byte of the request arrived
+	EndedAt      float64     `json:"end,omitempty"`    // when the answer was written or the connection ended; 0 while neither has happened
+	CallerClosed bool        `json:"left,omitempty"`   // the caller closed the connection before the answer
+	Status       int         `json:"status,omitempty"` // HTTP status
+	ToldWait     float64     `json:"wait,omitempty"`   // told wait of the answer
+	States       []PushState `json:"states"`           // outcome that the answer reports, for each of IDs
+	Ran          []bool      `json:"ran"`              // whether the partner really executed the push, for each of IDs
+	Cause        string      `json:"why,omitempty"`    // the simulated fault or limit behind the answer
 }
 
-// ListUpdate is what the agent told a dispatcher of endpoints.
+// ListUpdate is a change to the list of endpoints that the agent sent to a dispatcher.
 type ListUpdate struct {
 	Dispatcher int         `json:"dispatcher"`
 	At         float64     `json:"at"`
 	Version    int         `json:"version"`
-	Full       bool        `json:"full,omitempty"`
+	Full       bool        `json:"full,omitempty"` // the whole list, not a difference
 	Entries    []ListEntry `json:"entries"`
 }
 
-// ListEntry is one entry of the list.
+// ListEntry is one endpoint of the list and its stage.
 type ListEntry struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
-// Notice is a notice that the agent answered.
+// Notice is a notice from a dispatcher that the agent answered.
 type Notice struct {
 	Dispatcher int     `json:"dispatcher"`
 	ID         string  `json:"id"`
 	Outcome    string  `json:"outcome"`
 	RetryIn    float64 `json:"retry_in,omitempty"`
-	At         float64 `json:"at"` // its answer was written
+	At         float64 `json:"at"` // when the answer was written
 }
 
 // The outcomes of a notice.
@@ -96,7 +97,7 @@
 	HandedBack = "handed_back"
 )
 
-// ProcessEvent is something that happened to a dispatcher's process.
+// ProcessEvent is an event in the life of a dispatcher's process.
 type ProcessEvent struct {
 	Dispatcher int     `json:"dispatcher"`
 	At         float64 `json:"at"`
@@ -104,7 +105,7 @@
 	Detail     string  `json:"text,omitempty"`
 }
 
-// What can happen to a process.
+// The kinds of process events.
 const (
 	Started       = "started"
 	Ready         = "ready"
@@ -112,12 +113,12 @@
 	Killed        = "killed"
 	Stalled       = "stands still"
 	Resumed       = "goes on"
-	Exited        = "ended"   // as it was told to
-	Crashed       = "crashed" // it ended and nobody asked
-	LimitExceeded = "over"    // it used more than its limits
+	Exited        = "ended"   // the process exited on request
+	Crashed       = "crashed" // the process exited without a request
+	LimitExceeded = "over"    // the process used more than one of its limits
 )
 
-// Journal gathers records; parts add to it side by side.
+// Journal collects the records of a run. Its methods may be called concurrently.
 type Journal struct {
 	lock          sync.Mutex
 	HandIns       []*HandIn
@@ -127,63 +128,64 @@
 	ProcessEvents []ProcessEvent
 }
 
-// WithLock runs f with the journal to itself: records that are in it change only so.
+// WithLock runs f while it holds the journal's lock. Records already in the journal may only be read or changed within f.
 func (j *Journal) WithLock(f func()) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	f()
 }
 
-// AddHandIn adds a hand-in.
+// AddHandIn appends a hand-in.
 func (j *Journal) AddHandIn(h *HandIn) { j.WithLock(func() { j.HandIns = append(j.HandIns, h) }) }
 
-// EarliestExpiry is when the first of the TTLs of some notifications ends.
+// EarliestExpiry returns the earliest end of a TTL among the hand-ins with the given IDs, or +Inf if there are none.
 func (j *Journal) EarliestExpiry(ids []string) float64 {
-	first := math.Inf(1)
+	earliest := math.Inf(1)
 	j.WithLock(func() {
 		for _, h := range j.HandIns {
 			if slices.Contains(ids, h.ID) {
-				first = min(first, h.ExpiresAt)
+				earliest = min(earliest, h.ExpiresAt)
 			}
 		}
 	})
-	return first
+	return earliest
 }
 
-// AddCall adds a call.
+// AddCall appends a call.
 func (j *Journal) AddCall(c *Call) { j.WithLock(func() { j.Calls = append(j.Calls, c) }) }
 
-// AddListUpdate adds what was told.
-func (j *Journal) AddListUpdate(t ListUpdate) {
-	j.WithLock(func() { j.ListUpdates = append(j.ListUpdates, t) })
+// AddListUpdate appends a change to the list of endpoints.
+func (j *Journal) AddListUpdate(u ListUpdate) {
+	j.WithLock(func() { j.ListUpdates = append(j.ListUpdates, u) })
 }
 
-// AddNotice adds a notice.
+// AddNotice appends a notice.
 func (j *Journal) AddNotice(n Notice) { j.WithLock(func() { j.Notices = append(j.Notices, n) }) }
 
-// AddProcessEvent adds what happened to a process.
-func (j *Journal) AddProcessEvent(l ProcessEvent) {
-	j.WithLock(func() { j.ProcessEvents = append(j.ProcessEvents, l) })
+// AddProcessEvent appends a process event.
+func (j *Journal) AddProcessEvent(e ProcessEvent) {
+	j.WithLock(func() { j.ProcessEvents = append(j.ProcessEvents, e) })
 }
 
-// Write writes all records, a JSON object a line, each named by its kind.
+// Write writes all records as JSON, one object a line, each under the name of its kind.
 func (j *Journal) Write(to io.Writer) error {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	b := bufio.NewWriter(to)
 	e := json.NewEncoder(b)
-	err := writeAll(e, "hand_in", j.HandIns, nil)
-	err = writeAll(e, "call", j.Calls, err)
-	err = writeAll(e, "told", j.ListUpdates, err)
-	err = writeAll(e, "notice", j.Notices, err)
-	err = writeAll(e, "life", j.ProcessEvents, err)
+	err := encodeAll(e, "hand_in", j.HandIns, nil)
+	err = encodeAll(e, "call", j.Calls, err)
+	err = encodeAll(e, "told", j.ListUpdates, err)
+	err = encodeAll(e, "notice", j.Notices, err)
+	err = encodeAll(e, "life", j.ProcessEvents, err)
 	if err != nil {
 		return err
 	}
 	return b.Flush()
 }
 
-func writeAll[T any](e *json.Encoder, kind string, list []T, err error) error {
+// encodeAll encodes a list of records of one kind. It does nothing when err is not nil, and returns the first error.
+func encodeAll[T any](e *json.Encoder, kind string, list []T, err error) error {
 	for i := 0; i < len(list) && err == nil; i++ {
 		err = e.Encode(map[string]T{kind: list[i]})
 	}
