--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -18,12 +18,12 @@
 //go:embed shipped/*.toml
 var shipped embed.FS
 
-// Default is the scenario played where none is named.
+// Default is the scenario that is played when none is given.
 const Default = "tour"
 
-// Shipped lists the names of the scenarios in the program.
+// Shipped returns the names of the scenarios that are built into the program.
 func Shipped() []string {
-	files, _ := fs.Glob(shipped, "shipped/*.toml") // the pattern is good
+	files, _ := fs.Glob(shipped, "shipped/*.toml") // the only error is a malformed pattern
 	names := make([]string, 0, len(files))
 	for _, f := range files {
 		names = append(names, strings.TrimSuffix(path.Base(f), ".toml"))
@@ -31,7 +31,7 @@
 	return names
 }
 
-// Open reads a scenario: one in the program by its name, or a file by its path.
+// Open reads and validates a scenario: a shipped one by its name, or a file by its path.
 func Open(name string) (*Scenario, error) {
 	if slices.Contains(Shipped(), name) {
 		text, err := shipped.ReadFile("shipped/" + name + ".toml")
@@ -50,41 +50,42 @@
 	return Parse(name, text)
 }
 
-// Parse reads a scenario's text; file names it in errors. All errors are told at once, a line each.
+// Parse reads and validates the text of a scenario. The file name gives the scenario its name and appears in errors. The
+// error joins all that is wrong, one per line.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s, base := defaults(), &Scenario{}
-	var first struct{ Extends string }
-	if toml.Unmarshal(text, &first) == nil && first.Extends != "" { // text that cannot be read is told below
-		if !slices.Contains(Shipped(), first.Extends) || first.Extends == strings.TrimSuffix(path.Base(file), ".toml") {
-			return nil, fmt.Errorf("%s: extends: no shipped scenario %q: did you mean %q?", file, first.Extends,
-				ClosestMatch(first.Extends, Shipped()))
+	var header struct{ Extends string }
+	if toml.Unmarshal(text, &header) == nil && header.Extends != "" { // the decoder below reports syntax errors
+		if !slices.Contains(Shipped(), header.Extends) || header.Extends == strings.TrimSuffix(path.Base(file), ".toml") {
+			return nil, fmt.Errorf("%s: extends: unknown shipped scenario %q: did you mean %q?", file, header.Extends,
+				ClosestMatch(header.Extends, Shipped()))
 		}
 		var err error
-		if base, err = Open(first.Extends); err != nil {
+		if base, err = Open(header.Extends); err != nil {
 			return nil, err
 		}
-		copied := *base
-		s = &copied
+		inherited := *base
+		s = &inherited
 		s.Topics, s.Tenants, s.Kinds, s.Groups, s.Troubles, s.Load.Ramp = nil, nil, nil, nil, nil, nil
 	}
 	s.Name = strings.TrimSuffix(path.Base(file), ".toml")
-	d := toml.NewDecoder(strings.NewReader(string(text)))
-	d.DisallowUnknownFields()
-	err := d.Decode(s)
-	var strict *toml.StrictMissingError
-	var odd *toml.DecodeError
+	decoder := toml.NewDecoder(strings.NewReader(string(text)))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(s)
+	var strictErr *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
-	case errors.As(err, &strict):
+	case errors.As(err, &strictErr):
 		var all []error
-		for _, e := range strict.Errors {
+		for _, e := range strictErr.Errors {
 			row, _ := e.Position()
 			all = append(all, fmt.Errorf("%s:%d: unknown key %s: did you mean %s?", file, row, strings.Join(e.Key(), "."),
-				ClosestMatch(e.Key()[len(e.Key())-1], keysAt(e.Key()))))
+				ClosestMatch(e.Key()[len(e.Key())-1], siblingKeys(e.Key()))))
 		}
 		return nil, errors.Join(all...)
-	case errors.As(err, &odd):
-		row, column := odd.Position()
-		return nil, fmt.Errorf("%s:%d:%d: %s", file, row, column, strings.TrimPrefix(odd.Error(), "toml: "))
+	case errors.As(err, &decodeErr):
+		row, column := decodeErr.Position()
+		return nil, fmt.Errorf("%s:%d:%d: %s", file, row, column, strings.TrimPrefix(decodeErr.Error(), "toml: "))
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -92,10 +93,10 @@
 	inherit(&s.Tenants, base.Tenants)
 	inherit(&s.Kinds, base.Kinds)
 	inherit(&s.Groups, base.Groups)
-	fill(s)
-	if all := check(s); len(all) > 0 {
-		lines := make([]error, len(all))
-		for i, e := range all {
+	fillDefaults(s)
+	if errs := validate(s); len(errs) > 0 {
+		lines := make([]error, len(errs))
+		for i, e := range errs {
 			lines[i] = fmt.Errorf("%s: %w", file, e)
 		}
 		return nil, errors.Join(lines...)
@@ -103,23 +104,23 @@
 	return s, nil
 }
 
-// inherit takes a list from the scenario that another extends, where that has none of its own. Troubles and ramps are
-// not taken: they are what a scenario is about.
+// inherit copies a list from the extended scenario where the extending one does not define it. Troubles and ramps are not
+// inherited: they are what distinguishes a scenario.
 func inherit[T any](list *[]T, base []T) {
 	if *list == nil {
 		*list = slices.Clone(base)
 	}
 }
 
-// ClosestMatch is the word of a list that takes the fewest changes of letters.
+// ClosestMatch returns the word of a list, which must not be empty, with the smallest edit distance.
 func ClosestMatch(word string, list []string) string {
 	return slices.MinFunc(list, func(a, b string) int {
 		return levenshtein.ComputeDistance(word, a) - levenshtein.ComputeDistance(word, b)
 	})
 }
 
-// keysAt lists the keys that may stand where an unknown one stands.
-func keysAt(key []string) []string {
+// siblingKeys returns the keys that are allowed in the table of an unknown key.
+func siblingKeys(key []string) []string {
 	t := reflect.TypeFor[Scenario]()
 	for _, name := range key[:len(key)-1] {
 		for i := range t.NumField() {
@@ -140,6 +141,7 @@
 	return list
 }
 
+// defaults returns a scenario with the default values of its tables. Defaults of list elements are set by fillDefaults.
 func defaults() *Scenario {
 	return &Scenario{
 		Seed: 1, Length: 10,
@@ -151,18 +153,18 @@
 	}
 }
 
-// fill puts in what lists leave out.
-func fill(s *Scenario) {
-	or := func(v *float64, other float64) {
+// fillDefaults sets the defaults of values that the elements of lists leave out.
+func fillDefaults(s *Scenario) {
+	setDefault := func(v *float64, value float64) {
 		if *v == 0 {
-			*v = other
+			*v = value
 		}
 	}
 	for i := range s.Topics {
 		t := &s.Topics[i]
-		or(&t.Benefit, 1)
-		or(&t.Share, 1)
-		or(&t.DedupWindow, 12)
+		setDefault(&t.Benefit, 1)
+		setDefault(&t.Share, 1)
+		setDefault(&t.DedupWindow, 12)
 		if t.DedupScope == "" {
 			t.DedupScope = DedupScopeAll
 		}
@@ -171,7 +173,7 @@
 		s.Tenants = []Tenant{{Name: "acme"}}
 	}
 	for i := range s.Tenants {
-		or(&s.Tenants[i].Share, 1)
+		setDefault(&s.Tenants[i].Share, 1)
 	}
 	for i := range s.Kinds {
 		k := &s.Kinds[i]
@@ -182,9 +184,9 @@
 		if k.QueueLength == 0 {
 			k.QueueLength = 20
 		}
-		or(&k.LimitWindow, 1)
-		or(&k.MinToldWait, 0.3)
-		or(&k.IdleTimeout, 15)
+		setDefault(&k.LimitWindow, 1)
+		setDefault(&k.MinToldWait, 0.3)
+		setDefault(&k.IdleTimeout, 15)
 	}
 	for i := range s.Groups {
 		g := &s.Groups[i]
@@ -192,18 +194,18 @@
 		if g.Distribution == "" {
 			g.Distribution = EvenShares
 		}
-		or(&g.ZipfExponent, 1)
-		or(&g.Share, 1)
-		or(&g.CapacityFactor, 1.5)
-		or(&g.MinRate, 5)
-		or(&g.ServiceTime, 0.02)
+		setDefault(&g.ZipfExponent, 1)
+		setDefault(&g.Share, 1)
+		setDefault(&g.CapacityFactor, 1.5)
+		setDefault(&g.MinRate, 5)
+		setDefault(&g.ServiceTime, 0.02)
 	}
 	for i := range s.Troubles {
 		t := &s.Troubles[i]
-		or(&t.Share, 1)
-		or(&t.Factor, 2)
+		setDefault(&t.Share, 1)
+		setDefault(&t.Factor, 2)
 		if t.Kind == Drain || t.Kind == Kill || t.Kind == Restart {
-			or(&t.Wait, 1)
+			setDefault(&t.Wait, 1)
 		}
 		if t.Kind == SignalSeries {
 			t.SignalCount = max(t.SignalCount, 1)
@@ -214,7 +216,7 @@
 	}
 }
 
-// Text is the text of a scenario that Open finds.
+// Text returns the text of a scenario by its name or path, as Open finds it.
 func Text(name string) ([]byte, error) {
 	if slices.Contains(Shipped(), name) {
 		return shipped.ReadFile("shipped/" + name + ".toml")
@@ -222,8 +224,8 @@
 	return os.ReadFile(name)
 }
 
-// Override plays a scenario with another length, load, or closed loop; 0 leaves each as it is. Troubles beyond the length
-// are left out.
+// Override replaces the length in seconds, the load in notifications per second, and the connections of the closed loop; 0
+// keeps a value. Troubles that begin after the new length are dropped. It validates the result.
 func (s *Scenario) Override(length, rate float64, closed int) error {
 	if length > 0 {
 		s.Length = length
@@ -235,5 +237,5 @@
 	if closed > 0 {
 		s.Load.ClosedLoop = closed
 	}
-	return errors.Join(check(s)...)
+	return errors.Join(validate(s)...)
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,14 +1,15 @@
-// Package scenario holds what a run of the laboratory plays: its format, its checks, and the world made from it.
+// Package scenario defines what the laboratory plays in a run: the format of scenario files, their validation, and the world
+// and load plan that are generated from them.
 package scenario
 
-// Scenario is a run as its file says it. Times are seconds; rates are a second.
+// Scenario is a run as its file describes it. Times are in seconds, rates per second.
 type Scenario struct {
 	Name        string             `toml:"-"`
 	Title       string             `toml:"title"`
 	About       string             `toml:"about"`
-	Extends     string             `toml:"extends"` // a shipped scenario; what is not said here is as there
+	Extends     string             `toml:"extends"` // shipped scenario that provides the values missing here
 	Seed        uint64             `toml:"seed"`
-	Length      float64            `toml:"length"` // of the load; the run goes on until all that was taken is over
+	Length      float64            `toml:"length"` // of the load; the run lasts until all accepted notifications have their final answer
 	Dispatchers Dispatchers        `toml:"dispatchers"`
 	Recovery    Recovery           `toml:"returns"`
 	Topics      []Topic            `toml:"topics"`
@@ -19,38 +20,38 @@
 	Troubles    []Trouble          `toml:"troubles"`
 }
 
-// Dispatchers says how many there are and what each may use.
+// Dispatchers is the number of dispatchers and the settings and limits of each.
 type Dispatchers struct {
 	Count        int     `toml:"count"`
-	MaxCalls     int     `toml:"slots"`   // calls out at once
+	MaxCalls     int     `toml:"slots"`   // concurrent calls
 	MaxHeld      int     `toml:"held"`    // notifications held
-	MaxPushes    int     `toml:"pushes"`  // for one notification
-	TickInterval float64 `toml:"tick"`    // the least time between two turns
-	DialTimeout  float64 `toml:"dial"`    // a connection is waited for so long
-	DrainGrace   float64 `toml:"grace"`   // after a drain was told
-	KeyCooldown  float64 `toml:"rest"`    // of an ordered key after a push that may still run
-	Cores        float64 `toml:"cores"`   // limits of the process
-	MemoryMB     float64 `toml:"memory"`  // MB
-	Sockets      int     `toml:"sockets"` // descriptors
-	DiskMB       float64 `toml:"disk"`    // MB of the lasting folder
+	MaxPushes    int     `toml:"pushes"`  // per notification
+	TickInterval float64 `toml:"tick"`    // minimum time between two rounds
+	DialTimeout  float64 `toml:"dial"`    // for a new connection
+	DrainGrace   float64 `toml:"grace"`   // time after the announcement of a drain in which calls may still go to the endpoint
+	KeyCooldown  float64 `toml:"rest"`    // pause of an ordered key after a push that may still be running
+	Cores        float64 `toml:"cores"`   // CPU limit of the process
+	MemoryMB     float64 `toml:"memory"`  // memory limit of the process, in MB
+	Sockets      int     `toml:"sockets"` // limit of file descriptors
+	DiskMB       float64 `toml:"disk"`    // size limit of the state directory, in MB
 }
 
-// Recovery says what a destination back from an outage can take.
+// Recovery is how much load a destination can take after an outage.
 type Recovery struct {
-	InitialCapacity float64 `toml:"cold_from"` // share of its capacity at first
-	WarmUp          float64 `toml:"cold_span"` // until all is back
-	OverloadFactor  float64 `toml:"multiple"`  // sent more than so many times what it can take
-	OverloadSpan    float64 `toml:"fall"`      // for so long, it falls over and stays down
+	InitialCapacity float64 `toml:"cold_from"` // share of its capacity at the end of the outage
+	WarmUp          float64 `toml:"cold_span"` // time until its full capacity is back
+	OverloadFactor  float64 `toml:"multiple"`  // multiple of its current capacity that brings it down again, for good
+	OverloadSpan    float64 `toml:"fall"`      // length of the window in which that multiple is measured
 }
 
-// The repeat kinds of a topic type.
+// The repeat policies of a topic type.
 const (
 	Repeatable  = "repeatable"
 	Collapsible = "collapsible"
 	OnceOnly    = "once-only"
 )
 
-// Where a repeat of a collapsible one is known.
+// Which endpoints share the deduplication of a collapsible topic type.
 const (
 	DedupScopeAll  = "all"
 	DedupScopeZone = "zone"
@@ -60,24 +61,24 @@
 type Topic struct {
 	Name        string  `toml:"name"`
 	Repeat      string  `toml:"repeat"`
-	DedupWindow float64 `toml:"memory"` // collapsible: how long a repeat is known
-	DedupScope  string  `toml:"group"`  // collapsible: by "all" endpoints of the destination, or by those of one "zone"
+	DedupWindow float64 `toml:"memory"` // collapsible: how long endpoints recognise a repeat
+	DedupScope  string  `toml:"group"`  // collapsible: "all" endpoints of the destination recognise a repeat, or those of one "zone"
 	Objective   float64 `toml:"objective"`
 	TTL         float64 `toml:"ttl"`
 	Benefit     float64 `toml:"benefit"`
-	LateBenefit float64 `toml:"late_benefit"` // share of the benefit left at the TTL
+	LateBenefit float64 `toml:"late_benefit"` // share of the benefit that is left at the TTL
 	Ordered     bool    `toml:"ordered"`
-	Share       float64 `toml:"share"` // of all notifications
+	Share       float64 `toml:"share"` // weight in the load
 }
 
 // Tenant is a client's organisation.
 type Tenant struct {
 	Name      string  `toml:"name"`
-	Share     float64 `toml:"share"` // of all notifications
-	QuotaRate float64 `toml:"rate"`  // its quota; 0: half more than its share of the load
+	Share     float64 `toml:"share"` // weight in the load
+	QuotaRate float64 `toml:"rate"`  // notifications per second; 0: 1.5 times the tenant's share of the load
 }
 
-// The limits of a kind.
+// The rate limits of a partner kind.
 const (
 	NoLimit     = "none"
 	RateLimit   = "rate"
@@ -87,20 +88,20 @@
 // Kind is a kind of partner.
 type Kind struct {
 	Name           string  `toml:"name"`
-	BatchSize      int     `toml:"batch"`       // notifications that may share a call
+	BatchSize      int     `toml:"batch"`       // maximum notifications in a call
 	LimitKind      string  `toml:"limit"`       // none, rate or window
-	LimitWindow    float64 `toml:"window"`      // span of a windowed limit
-	CountRejected  bool    `toml:"count_full"`  // refused calls use up the limit too
-	ReportsLoad    bool    `toml:"reports"`     // answers tell what is left of the limit
-	ToldWaitShare  float64 `toml:"tell_wait"`   // share of refusals that tell a wait
-	MinToldWait    float64 `toml:"wait"`        // the least wait told
-	QueueLength    int     `toml:"queue"`       // calls that wait at an endpoint
-	MaxConnections int     `toml:"connections"` // an endpoint holds so many, idle ones counted; 0: any
-	IdleTimeout    float64 `toml:"idle"`        // idle connections are closed after so long
-	HandshakeDelay float64 `toml:"handshake"`   // what the first call on a connection waits more
+	LimitWindow    float64 `toml:"window"`      // length of the window of a windowed limit
+	CountRejected  bool    `toml:"count_full"`  // rejected calls count against the limit too
+	ReportsLoad    bool    `toml:"reports"`     // answers report what is left of the limit
+	ToldWaitShare  float64 `toml:"tell_wait"`   // share of rejections with a told wait
+	MinToldWait    float64 `toml:"wait"`        // lower bound of a told wait
+	QueueLength    int     `toml:"queue"`       // calls that may queue at an endpoint
+	MaxConnections int     `toml:"connections"` // per endpoint, idle ones included; 0: no maximum
+	IdleTimeout    float64 `toml:"idle"`        // after which an endpoint closes an idle connection
+	HandshakeDelay float64 `toml:"handshake"`   // added to the first call on a connection
 }
 
-// How a group's traffic is shared out.
+// How the traffic of a group is divided among its destinations.
 const (
 	EvenShares   = "even"
 	ZipfShares   = "zipf"
@@ -111,92 +112,92 @@
 type DestinationGroup struct {
 	Count           int       `toml:"count"`
 	Kind            string    `toml:"kind"`
-	Endpoints       int       `toml:"endpoints"`      // of each destination
-	Share           float64   `toml:"share"`          // of all notifications that this group gets
+	Endpoints       int       `toml:"endpoints"`      // per destination
+	Share           float64   `toml:"share"`          // weight of the group in the load
 	Distribution    string    `toml:"spread"`         // even, zipf or listed
-	ZipfExponent    float64   `toml:"exponent"`       // of zipf
-	Shares          []float64 `toml:"shares"`         // listed
-	CapacityFactor  float64   `toml:"room"`           // capacity over the calls that the load asks of it
-	MinRate         float64   `toml:"least_rate"`     // capacity of the smallest
-	ServiceTime     float64   `toml:"service"`        // median time of a call
-	ServiceSigma    float64   `toml:"service_spread"` // sigma of its logarithm; 0: all alike
-	MedianSigma     float64   `toml:"pace_spread"`    // sigma of the logarithm of the median over the destinations
-	SharedListeners int       `toml:"listeners"`      // destinations share so many; 0: each endpoint has its own
+	ZipfExponent    float64   `toml:"exponent"`       // for zipf
+	Shares          []float64 `toml:"shares"`         // for listed: the weight of each destination
+	CapacityFactor  float64   `toml:"room"`           // capacity of a destination over its part of the load
+	MinRate         float64   `toml:"least_rate"`     // lower bound of a destination's capacity, in calls per second
+	ServiceTime     float64   `toml:"service"`        // median service time of a call
+	ServiceSigma    float64   `toml:"service_spread"` // standard deviation of the logarithm of the service time; 0: constant
+	MedianSigma     float64   `toml:"pace_spread"`    // standard deviation of the logarithm of the median over the destinations
+	SharedListeners int       `toml:"listeners"`      // listeners that the destinations share, per endpoint number; 0: one per endpoint
 }
 
-// Load is how notifications come.
+// Load is how notifications arrive.
 type Load struct {
 	Rate                  float64     `toml:"rate"`
-	ClosedLoop            int         `toml:"closed"`     // so many connections, each waiting for its answer; 0: open loop
-	Clients               int         `toml:"clients"`    // processes that hand in
-	BurstShare            float64     `toml:"clumps"`     // share of notifications that come in clumps for one destination
-	BurstSize             int         `toml:"clump_size"` // notifications in one
-	Keys                  int         `toml:"keys"`       // of ordered topic types
-	BodyBytes             int         `toml:"body"`       // bytes
-	MaxRetries            int         `toml:"retries"`    // after a refusal
-	RetryDelay            float64     `toml:"retry_wait"` // where none is told
-	FailureDetectionDelay float64     `toml:"front"`      // the front notices a dead dispatcher after so long
-	MaxLateness           float64     `toml:"late_bound"` // p99 of the generator's own lateness, past which a run is void
-	Ramp                  []RampPoint `toml:"ramp"`       // the rate's factor over time
+	ClosedLoop            int         `toml:"closed"`     // connections that each wait for the answer before the next hand-in; 0: open loop
+	Clients               int         `toml:"clients"`    // client processes
+	BurstShare            float64     `toml:"clumps"`     // share of notifications that arrive in bursts for one destination
+	BurstSize             int         `toml:"clump_size"` // notifications in a burst
+	Keys                  int         `toml:"keys"`       // keys of ordered topic types, over all destinations
+	BodyBytes             int         `toml:"body"`       // body size in bytes
+	MaxRetries            int         `toml:"retries"`    // of a hand-in that was refused or got no answer
+	RetryDelay            float64     `toml:"retry_wait"` // used where a refusal gives no Retry-After
+	FailureDetectionDelay float64     `toml:"front"`      // time until the clients' balancer avoids a dead dispatcher
+	MaxLateness           float64     `toml:"late_bound"` // 99th percentile of the generator's own lateness above which a run is void
+	Ramp                  []RampPoint `toml:"ramp"`       // factor on the rate over time
 }
 
-// RampPoint is a factor at a moment; between two it is drawn straight.
+// RampPoint is the factor at a time. Between two points the factor is interpolated linearly.
 type RampPoint struct {
 	At     float64 `toml:"at"`
 	Factor float64 `toml:"factor"`
 }
 
-// The troubles.
+// The kinds of trouble.
 const (
-	RefuseConnections = "refuse"    // endpoints take no connection
-	Hang              = "hang"      // they take calls and answer none
-	FailCalls         = "errors"    // a share of calls fails with 500
-	SlowAnswers       = "slow"      // they answer so many times slower
-	LoseAnswers       = "lost"      // a share of calls runs, and its answer never comes
-	ResetConnections  = "reset"     // a share of calls runs, then the connection breaks in the place of an answer
-	BreakReused       = "reused"    // connections that were used before break under the next call, before it runs
-	LateAnswers       = "late"      // a share of calls runs, and is answered just after the first TTL in it: that counts as none
-	TruncateAnswers   = "cut"       // a share of answers breaks off in the middle
-	CorruptAnswers    = "spoil"     // a share of answers cannot be read
-	CloseAfterAnswer  = "close"     // a share of connections is closed untold behind a good answer
-	RejectAll         = "shut"      // they turn all calls away; with tell a wait until they open
-	ChangeLimit       = "limit"     // the limit is so many times what it was
-	Drain             = "drain"     // endpoints drain, go, and others take their place
-	Kill              = "kill"      // dispatchers are killed outright and come back
-	Restart           = "restart"   // dispatchers are told to end, and come back
-	Stall             = "stall"     // dispatchers stand still
-	ListDown          = "list-down" // the list is silent
-	ListSlow          = "list-slow" // each answer with the list takes so many seconds more
-	SignalSeries      = "series"    // dispatchers are killed, told to end and stalled one time after another, during their starts too
-	MoveAgent         = "move"      // the agent moves: dispatchers are told by a new configuration and SIGHUP
-	Surge             = "surge"     // the load is so many times what it was
-	HotClient         = "hot"       // one client process sends so much more, as a factor of the load
-	BusyDisk          = "busy-disk" // the dispatchers' folders share a disk that somebody writes to
+	RefuseConnections = "refuse"    // endpoints accept no connections
+	Hang              = "hang"      // endpoints accept calls and never answer
+	FailCalls         = "errors"    // a share of the notifications in calls fails; status 500 when all of a call fail
+	SlowAnswers       = "slow"      // service times are multiplied by the factor
+	LoseAnswers       = "lost"      // a share of calls is executed and never answered
+	ResetConnections  = "reset"     // a share of calls is executed, then the connection is reset instead of an answer
+	BreakReused       = "reused"    // a share of calls on reused connections has its connection reset before it is executed
+	LateAnswers       = "late"      // a share of calls is executed and answered just after the earliest TTL in it, which counts as no answer
+	TruncateAnswers   = "cut"       // a share of answers is truncated
+	CorruptAnswers    = "spoil"     // a share of answers cannot be parsed
+	CloseAfterAnswer  = "close"     // a share of connections is closed after a good answer, without a Connection: close header
+	RejectAll         = "shut"      // endpoints reject all calls; when announced, with a told wait until the end of the trouble
+	ChangeLimit       = "limit"     // the rate limit is multiplied by the factor
+	Drain             = "drain"     // endpoints drain, are removed, and are replaced
+	Kill              = "kill"      // dispatchers get SIGKILL and are started again
+	Restart           = "restart"   // dispatchers get SIGTERM and are started again
+	Stall             = "stall"     // dispatchers are stopped and continued
+	ListDown          = "list-down" // the agent does not answer requests for the list
+	ListSlow          = "list-slow" // the agent delays each answer with the list by the factor, in seconds
+	SignalSeries      = "series"    // dispatchers are killed, terminated and stalled in succession, also while they start
+	MoveAgent         = "move"      // the agent's address changes: dispatchers get a new configuration and SIGHUP
+	Surge             = "surge"     // the load is multiplied by the factor
+	HotClient         = "hot"       // one client process sends additional load, the factor times the rate
+	BusyDisk          = "busy-disk" // another process writes to the disk of the dispatchers' state directories
 )
 
-// Trouble is something that goes wrong for a while.
+// Trouble is something that goes wrong for a limited time.
 type Trouble struct {
 	Kind         string  `toml:"kind"`
 	At           float64 `toml:"at"`
 	Duration     float64 `toml:"for"`
-	Pick         string  `toml:"pick"`         // partners: largest, smallest, random or all
-	Count        int     `toml:"count"`        // so many of them
-	Destinations []int   `toml:"destinations"` // or these, counted from 0
-	Endpoint     int     `toml:"endpoint"`     // only the one of this number, from 1; 0: all
-	Dispatchers  []int   `toml:"dispatchers"`  // counted from 0; none: all
+	Pick         string  `toml:"pick"`         // how destinations are chosen: largest, smallest, random or all
+	Count        int     `toml:"count"`        // how many destinations are chosen
+	Destinations []int   `toml:"destinations"` // the destinations by number, from 0; empty: chosen by Pick and Count
+	Endpoint     int     `toml:"endpoint"`     // number of the only affected endpoint of each destination, from 1; 0: all
+	Dispatchers  []int   `toml:"dispatchers"`  // the dispatchers by number, from 0; empty: all
 	Share        float64 `toml:"share"`        // of calls or answers; 0: all
 	Factor       float64 `toml:"factor"`
-	Announced    bool    `toml:"tell"`    // shut: the wait is told; limit: reports tell the new one
-	Wait         float64 `toml:"wait"`    // drain: from the drain's telling to the endpoint's going; restart, kill: time down
-	ReturnsWarm  bool    `toml:"warm"`    // the destination comes back warm
-	ListDelay    float64 `toml:"learned"` // drain, list: told so much later
-	SignalCount  int     `toml:"times"`   // series: so many signals, within its time
+	Announced    bool    `toml:"tell"`    // shut: rejections carry a told wait; limit: load reports show the new limit
+	Wait         float64 `toml:"wait"`    // drain: time from its start to the removal of the endpoint; restart, kill: downtime
+	ReturnsWarm  bool    `toml:"warm"`    // the destination has its full capacity at once when an outage ends
+	ListDelay    float64 `toml:"learned"` // drain: delay until the list shows it
+	SignalCount  int     `toml:"times"`   // series: number of signals within its duration
 }
 
-// End is when a trouble is over.
+// End returns when the trouble ends.
 func (t Trouble) End() float64 { return t.At + t.Duration }
 
-// CausesOutage tells whether the trouble takes a destination down, so that it comes back cold.
+// CausesOutage reports whether the trouble takes a destination down, so that it goes through slow start afterwards.
 func (t Trouble) CausesOutage() bool {
 	switch t.Kind {
 	case RefuseConnections, Hang, RejectAll:
--- a/lab/scenario/world.go
+++ b/lab/scenario/world.go
@@ -8,11 +8,11 @@
 	"slices"
 )
 
-// World is what a scenario makes: the same one for the same scenario and seed.
+// World is the set of partners, endpoints and faults that a scenario gives. The same scenario and seed give the same world.
 type World struct {
 	*Scenario
 	Partners []Partner
-	Faults   []Fault // troubles with their destinations chosen
+	Faults   []Fault // troubles of partners, in order of time
 }
 
 // Partner is a destination with its endpoints.
@@ -20,68 +20,71 @@
 	Dest             int
 	Kind             Kind
 	Share            float64 // of all notifications
-	Rate             float64 // calls a second that it can take once warm
-	ServiceTime      float64 // median time of a call
-	ServiceSigma     float64 // sigma of its logarithm
-	SlotsPerEndpoint int     // calls that one endpoint serves at once
+	Rate             float64 // capacity outside slow start, in calls per second
+	ServiceTime      float64 // median service time of a call, in seconds
+	ServiceSigma     float64 // standard deviation of the logarithm of the service time
+	SlotsPerEndpoint int     // concurrent calls per endpoint
 	Endpoints        []Endpoint
 }
 
-// Endpoint is one of a destination's servers. Endpoints of the same Listener share an address.
+// Endpoint is one of a destination's servers. Endpoints with the same Listener share an address.
 type Endpoint struct {
 	ID        string
 	Dest      int
-	Number    int // within its destination; the one that takes its place has the same
+	Number    int // within its destination; a replacement has the number of the endpoint that it replaces
 	Zone      string
-	Index     int // among all that its destination has in the run
+	Index     int // among all endpoints of its destination in the run, replacements included
 	Listener  int
-	AddedAt   float64 // it is there from this moment on
-	DrainsAt  float64 // the drain begins; 0: never
-	RemovedAt float64 // and ends
+	AddedAt   float64 // 0: there from the start
+	DrainsAt  float64 // when its drain begins; 0: never
+	RemovedAt float64 // when its drain ends; 0: never
 }
 
-// Zones are those in which a destination's endpoints stand, in turn.
+// Zones are the zones to which the endpoints of a destination are assigned in turn.
 var Zones = []string{"a", "b"}
 
-// Fault is a trouble of destinations, with those chosen.
+// Fault is a trouble of partners with the destinations chosen for it.
 type Fault struct {
 	Trouble
 	Dests map[int]bool
 }
 
-// ActiveOn tells whether a fault of a kind concerns an endpoint at a moment.
+// ActiveOn reports whether the fault is of a kind and acts on an endpoint at a time.
 func (f *Fault) ActiveOn(kind string, now float64, e Endpoint) bool {
 	return f.Kind == kind && now >= f.At && now < f.End() && f.AppliesTo(e)
 }
 
-// AppliesTo tells whether it concerns an endpoint at all.
+// AppliesTo reports whether the fault acts on an endpoint at any time.
 func (f *Fault) AppliesTo(e Endpoint) bool {
 	return f.Dests[e.Dest] && (f.Endpoint == 0 || f.Endpoint == e.Number+1)
 }
 
-// random returns the scenario's chance for one purpose.
-func (s *Scenario) random(purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(s.Seed, purpose)) }
+// randomSource returns the random source of the scenario for one purpose, so that the draws for one do not shift another's.
+func (s *Scenario) randomSource(purpose uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(s.Seed, purpose))
+}
 
+// The purposes of random sources.
 const (
-	forPaces = iota + 1
-	forPicks
-	forArrivals
+	purposeServiceTimes = iota + 1
+	purposePicks
+	purposeArrivals
 )
 
-// NewWorld makes the world of a scenario.
+// NewWorld returns the world of a scenario.
 func NewWorld(s *Scenario) *World {
 	w := &World{Scenario: s}
-	paces, groups := s.random(forPaces), 0.0
+	rng, totalShare := s.randomSource(purposeServiceTimes), 0.0
 	for _, g := range s.Groups {
-		groups += g.Share
+		totalShare += g.Share
 	}
 	listeners := 0
 	for _, g := range s.Groups {
 		kind := s.Kinds[slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == g.Kind })]
-		shares := g.shares()
+		shares := g.normalizedShares()
 		for i, share := range shares {
-			p := Partner{Dest: len(w.Partners), Kind: kind, Share: share * g.Share / groups, ServiceSigma: g.ServiceSigma,
-				ServiceTime: g.ServiceTime * math.Exp(g.MedianSigma*paces.NormFloat64())}
+			p := Partner{Dest: len(w.Partners), Kind: kind, Share: share * g.Share / totalShare, ServiceSigma: g.ServiceSigma,
+				ServiceTime: g.ServiceTime * math.Exp(g.MedianSigma*rng.NormFloat64())}
 			p.Rate = max(g.MinRate, g.CapacityFactor*p.Share*s.Load.Rate)
 			mean := p.ServiceTime * math.Exp(p.ServiceSigma*p.ServiceSigma/2)
 			p.SlotsPerEndpoint = int(math.Ceil(p.Rate*mean/float64(g.Endpoints))) + 1
@@ -103,23 +106,24 @@
 			listeners += g.Count * g.Endpoints
 		}
 	}
-	picks := s.random(forPicks)
+	pickRNG := s.randomSource(purposePicks)
 	for _, t := range s.Troubles {
 		if t.AffectsPartners() {
-			w.Faults = append(w.Faults, Fault{t, w.pick(t, picks)})
+			w.Faults = append(w.Faults, Fault{t, w.pick(t, pickRNG)})
 		}
 	}
 	slices.SortStableFunc(w.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	for _, f := range w.Faults {
 		if f.Kind == Drain {
-			listeners = w.replace(f, listeners)
+			listeners = w.replaceEndpoints(f, listeners)
 		}
 	}
 	return w
 }
 
-// replace drains the endpoints that a fault concerns and puts others in their place.
-func (w *World) replace(f Fault, listeners int) int {
+// replaceEndpoints drains and removes the endpoints that a fault acts on and adds their replacements, each on a new listener.
+// It takes and returns the number of listeners in use.
+func (w *World) replaceEndpoints(f Fault, listeners int) int {
 	for i := range w.Partners {
 		p := &w.Partners[i]
 		for n, e := range p.Endpoints {
@@ -127,22 +131,22 @@
 				continue
 			}
 			p.Endpoints[n].DrainsAt, p.Endpoints[n].RemovedAt = f.At, f.At+f.Wait
-			next := Endpoint{ID: fmt.Sprintf("e%d-%d", p.Dest, len(p.Endpoints)), Dest: p.Dest, Number: e.Number, Zone: e.Zone,
+			replacement := Endpoint{ID: fmt.Sprintf("e%d-%d", p.Dest, len(p.Endpoints)), Dest: p.Dest, Number: e.Number, Zone: e.Zone,
 				Index: len(p.Endpoints), Listener: listeners, AddedAt: f.At}
-			p.Endpoints = append(p.Endpoints, next)
+			p.Endpoints = append(p.Endpoints, replacement)
 			listeners++
 		}
 	}
 	return listeners
 }
 
-// SharesListener tells whether an endpoint's listener stands for others too.
+// SharesListener reports whether the listener of an endpoint may serve other destinations too.
 func (w *World) SharesListener(e Endpoint) bool {
-	return e.AddedAt == 0 && w.group(e.Dest).SharedListeners > 0
+	return e.AddedAt == 0 && w.groupOf(e.Dest).SharedListeners > 0
 }
 
-// shares are how a group's destinations share its traffic, 1 in all.
-func (g DestinationGroup) shares() []float64 {
+// normalizedShares returns the share of each destination in the group's traffic. They add up to 1.
+func (g DestinationGroup) normalizedShares() []float64 {
 	list, sum := make([]float64, g.Count), 0.0
 	for i := range list {
 		switch g.Distribution {
@@ -161,15 +165,15 @@
 	return list
 }
 
-// pick chooses a trouble's destinations.
-func (w *World) pick(t Trouble, chance *rand.Rand) map[int]bool {
+// pick returns the destinations of a trouble.
+func (w *World) pick(t Trouble, rng *rand.Rand) map[int]bool {
 	order := make([]int, len(w.Partners))
 	for i := range order {
 		order[i] = i
 	}
 	switch t.Pick {
 	case "random":
-		chance.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
+		rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	case "smallest":
 		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(w.Partners[a].Share, w.Partners[b].Share) })
 	default:
@@ -182,50 +186,50 @@
 		order = order[:min(t.Count, len(order))]
 	}
 	chosen := map[int]bool{}
-	for _, d := range order {
-		chosen[d] = true
+	for _, dest := range order {
+		chosen[dest] = true
 	}
 	return chosen
 }
 
-// CapacityShare is the share of its capacity that a destination has at a moment: less than 1 for a while after an outage.
-// During one it is that of its first moment back.
+// CapacityShare returns the share of its capacity that a destination has at a time: less than 1 in the slow start after an
+// outage. During an outage it is the share with which the slow start begins.
 func (w *World) CapacityShare(dest int, now float64) float64 {
-	warmth, latest := 1.0, math.Inf(-1)
+	share, latest := 1.0, math.Inf(-1)
 	for i := range w.Faults {
 		f := &w.Faults[i]
 		if !f.CausesOutage() || f.ReturnsWarm || !f.Dests[dest] || f.Endpoint > 0 || now < f.At || f.At < latest {
 			continue
 		}
 		latest = f.At
-		warmth = min(1, w.Recovery.InitialCapacity+(1-w.Recovery.InitialCapacity)*max(0, now-f.End())/w.Recovery.WarmUp)
+		share = min(1, w.Recovery.InitialCapacity+(1-w.Recovery.InitialCapacity)*max(0, now-f.End())/w.Recovery.WarmUp)
 	}
-	return warmth
+	return share
 }
 
-// InOutage tells whether a destination has an outage at a moment.
+// InOutage reports whether a destination has an outage at a time.
 func (w *World) InOutage(dest int, now float64) bool {
 	return slices.ContainsFunc(w.Faults, func(f Fault) bool {
 		return f.CausesOutage() && f.Endpoint == 0 && f.Dests[dest] && now >= f.At && now < f.End()
 	})
 }
 
-// ListedRate is a destination's rate as the list tells it.
+// ListedRate returns the rate of a destination as the list states it, rounded to hundredths of a call per second.
 func (p *Partner) ListedRate() float64 { return math.Round(p.Rate*100) / 100 }
 
-// Arrival is one notification of the plan.
+// Arrival is one notification of the load plan.
 type Arrival struct {
 	At     float64
 	Topic  int
 	Tenant int
 	Dest   int
 	Client int
-	Key    int // of an ordered topic type, else 0
+	Key    int // from 1 for an ordered topic type, else 0
 }
 
-// Arrivals plans the whole load.
+// Arrivals returns the load plan in order of time.
 func (w *World) Arrivals() []Arrival {
-	chance := w.random(forArrivals)
+	rng := w.randomSource(purposeArrivals)
 	topics := make([]float64, len(w.Topics))
 	for i, t := range w.Topics {
 		topics[i] = t.Share
@@ -238,32 +242,32 @@
 	for i, p := range w.Partners {
 		dests[i] = p.Share
 	}
-	byTopic, byTenant, byDest := sums(topics), sums(tenants), sums(dests)
+	byTopic, byTenant, byDest := newCumulativeShares(topics), newCumulativeShares(tenants), newCumulativeShares(dests)
 	keys := max(1, w.Load.Keys/len(w.Partners))
 	l := w.Load
-	events := l.Rate * (1 - l.BurstShare + l.BurstShare/float64(l.BurstSize)) // a clump is one event
-	clump := l.BurstShare / float64(l.BurstSize) / (1 - l.BurstShare + l.BurstShare/float64(l.BurstSize))
+	eventRate := l.Rate * (1 - l.BurstShare + l.BurstShare/float64(l.BurstSize)) // a burst is one event
+	burstChance := l.BurstShare / float64(l.BurstSize) / (1 - l.BurstShare + l.BurstShare/float64(l.BurstSize))
 	var list []Arrival
 	add := func(at float64, dest, client, tenant int) {
-		a := Arrival{At: at, Dest: dest, Client: client, Tenant: tenant, Topic: byTopic.draw(chance)}
+		a := Arrival{At: at, Dest: dest, Client: client, Tenant: tenant, Topic: byTopic.draw(rng)}
 		if w.Topics[a.Topic].Ordered {
-			a.Key = 1 + chance.IntN(keys)
+			a.Key = 1 + rng.IntN(keys)
 		}
 		list = append(list, a)
 	}
-	const least = 1e-3 // of the rate: where the factor is 0 the plan looks again soon
+	const minFactor = 1e-3 // keeps the interval finite where the load factor is 0
 	for at := 0.0; ; {
 		factor := w.LoadFactor(at)
-		at += min(chance.ExpFloat64()/(events*max(factor, least)), 0.1)
+		at += min(rng.ExpFloat64()/(eventRate*max(factor, minFactor)), 0.1)
 		if at >= w.Length {
 			break
 		}
 		if factor == 0 || w.LoadFactor(at) == 0 {
 			continue
 		}
-		dest, client, tenant := byDest.draw(chance), chance.IntN(l.Clients), byTenant.draw(chance)
+		dest, client, tenant := byDest.draw(rng), rng.IntN(l.Clients), byTenant.draw(rng)
 		n := 1
-		if chance.Float64() < clump {
+		if rng.Float64() < burstChance {
 			n = l.BurstSize
 		}
 		for range n {
@@ -273,10 +277,10 @@
 	for _, t := range w.Troubles {
 		if t.Kind == HotClient {
 			for at := t.At; ; {
-				if at += chance.ExpFloat64() / (l.Rate * t.Factor); at >= min(t.End(), w.Length) {
+				if at += rng.ExpFloat64() / (l.Rate * t.Factor); at >= min(t.End(), w.Length) {
 					break
 				}
-				add(at, byDest.draw(chance), 0, 0)
+				add(at, byDest.draw(rng), 0, 0)
 			}
 		}
 	}
@@ -284,7 +288,7 @@
 	return list
 }
 
-// LoadFactor is how many times the usual the load is at a moment.
+// LoadFactor returns the factor on the rate of the load at a time.
 func (w *World) LoadFactor(now float64) float64 {
 	factor, ramp := 1.0, w.Load.Ramp
 	if i := slices.IndexFunc(ramp, func(p RampPoint) bool { return p.At > now }); len(ramp) > 0 {
@@ -306,11 +310,11 @@
 	return factor
 }
 
-// cumulated shares draw one of a list by its share.
-type cumulated []float64
+// cumulativeShares are the running sums of a list of shares.
+type cumulativeShares []float64
 
-func sums(shares []float64) cumulated {
-	c := make(cumulated, len(shares))
+func newCumulativeShares(shares []float64) cumulativeShares {
+	c := make(cumulativeShares, len(shares))
 	sum := 0.0
 	for i, s := range shares {
 		sum += s
@@ -319,12 +323,13 @@
 	return c
 }
 
-func (c cumulated) draw(chance *rand.Rand) int {
-	i, _ := slices.BinarySearch(c, chance.Float64()*c[len(c)-1])
+// draw returns a random index, each with a probability in proportion to its share.
+func (c cumulativeShares) draw(rng *rand.Rand) int {
+	i, _ := slices.BinarySearch(c, rng.Float64()*c[len(c)-1])
 	return min(i, len(c)-1)
 }
 
-// ListDelay is how much later than it happens the list tells what becomes of an endpoint.
+// ListDelay returns the seconds after which the list shows the drain, removal or addition of an endpoint.
 func (w *World) ListDelay(e Endpoint) float64 {
 	for i := range w.Faults {
 		f := &w.Faults[i]
@@ -335,16 +340,16 @@
 	return 0
 }
 
-// AppliesToDispatcher tells whether a trouble of dispatchers is one of this.
+// AppliesToDispatcher reports whether a trouble of dispatchers affects the given one.
 func (t Trouble) AppliesToDispatcher(dispatcher int) bool {
 	return len(t.Dispatchers) == 0 || slices.Contains(t.Dispatchers, dispatcher)
 }
 
-// MinIdleTimeout is when the first kind's idle connections are closed at the latest.
+// MinIdleTimeout returns the shortest idle timeout of all kinds, in seconds.
 func (w *World) MinIdleTimeout() float64 {
-	least := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, k := range w.Kinds {
-		least = min(least, k.IdleTimeout)
+		shortest = min(shortest, k.IdleTimeout)
 	}
-	return least
+	return shortest
 }
