--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -22,44 +22,44 @@
 
 var pageTemplate = template.Must(template.New("report").Parse(page))
 
-// picture is one drawing in the report.
-type picture struct {
+// chart is a drawing of the report page. The page template reads its fields by name.
+type chart struct {
 	Title string
 	SVG   template.HTML
 }
 
-// WriteHTML writes a result as one page that needs no other file.
+// WriteHTML writes the result as one self-contained HTML page.
 func (r *Result) WriteHTML(to io.Writer) error {
-	var pictures []picture
+	var charts []chart
 	s := r.Series
-	add := func(title, unit string, log bool, dest int, lines ...line) error {
-		svg, err := r.draw(unit, log, dest, lines)
+	add := func(title, unit string, log bool, dest int, curves ...curve) error {
+		svg, err := r.draw(unit, log, dest, curves)
 		if err == nil {
-			pictures = append(pictures, picture{title, template.HTML(svg)}) // drawn here, from numbers
+			charts = append(charts, chart{title, template.HTML(svg)}) // safe: the SVG is generated from numbers
 		}
 		return err
 	}
-	err := add("Notifications by time", "a second", false, all, line{"offered", s.points(s.Offered)}, line{"delivered", s.points(s.Delivered)},
-		line{"of them late", s.points(s.Late)}, line{"refused", s.points(s.Refused)}, line{"ended by a notice", s.points(s.Notices)})
+	err := add("Notifications over time", "per second", false, allDests, curve{"offered", s.points(s.Offered)}, curve{"delivered", s.points(s.Delivered)},
+		curve{"delivered late", s.points(s.Late)}, curve{"refused", s.points(s.Refused)}, curve{"ended by a notice", s.points(s.Notices)})
 	if err == nil {
-		err = add("Owed, and pushes out", "notifications", false, all, line{"owed", s.points(s.Owed)}, line{"pushes out", s.points(s.PushesInFlight)})
+		err = add("Notifications owed and pushes in flight", "notifications", false, allDests, curve{"owed", s.points(s.Owed)}, curve{"pushes in flight", s.points(s.PushesInFlight)})
 	}
 	if err == nil {
-		var curves []line
+		var curves []curve
 		for _, t := range r.Topics {
 			var xy plotter.XYs
 			for _, c := range t.Curve {
 				xy = append(xy, plotter.XY{X: math.Max(c.Seconds, 1e-5), Y: c.Share})
 			}
-			curves = append(curves, line{t.Name, xy})
+			curves = append(curves, curve{t.Name, xy})
 		}
-		err = add("Latency from the planned moment, by topic type", "share delivered", true, all, curves...)
+		err = add("Latency from the planned time, by topic type", "share delivered", true, allDests, curves...)
 	}
 	for _, p := range r.Partners {
 		if err == nil {
-			seconds := Series{Step: 1}
-			err = add(fmt.Sprintf("Destination %d (%s): %d calls, %d turned away", p.Dest, p.Kind, p.Calls, p.Throttled), "calls a second", false, p.Dest,
-				line{"calls", seconds.points(p.CallRate)}, line{"what it can take", seconds.points(p.Capacity)})
+			perSecond := Series{Step: 1}
+			err = add(fmt.Sprintf("Destination %d (%s): %d calls, %d turned away", p.Dest, p.Kind, p.Calls, p.Throttled), "calls per second", false, p.Dest,
+				curve{"calls", perSecond.points(p.CallRate)}, curve{"capacity", perSecond.points(p.Capacity)})
 		}
 	}
 	if err != nil {
@@ -67,16 +67,17 @@
 	}
 	var table bytes.Buffer
 	r.WriteTable(&table)
-	return pageTemplate.Execute(to, map[string]any{"Title": r.Title, "Table": table.String(), "Pictures": pictures,
+	return pageTemplate.Execute(to, map[string]any{"Title": r.Title, "Table": table.String(), "Pictures": charts,
 		"Bands": r.Bands, "Broken": len(r.Violations)})
 }
 
-// line is one curve.
-type line struct {
-	name string
-	xy   plotter.XYs
+// curve is one line of a chart, with its name in the legend.
+type curve struct {
+	name   string
+	points plotter.XYs
 }
 
+// points returns a value per step of the series, each at the middle of its step.
 func (s Series) points(list []float64) plotter.XYs {
 	xy := make(plotter.XYs, len(list))
 	for i, v := range list {
@@ -85,28 +86,28 @@
 	return xy
 }
 
-// Colours that people who see few of them can tell apart.
+// colours are curve colours that stay distinguishable with colour blindness.
 var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 80, 70, 255}, color.RGBA{230, 159, 0, 255}}
 
 const (
-	all    = -1 // destinations: the troubles of each are shown
-	width  = 24 * vg.Centimeter
-	height = 7 * vg.Centimeter
+	allDests = -1 // as a destination: the chart shows the troubles of all destinations
+	width    = 24 * vg.Centimeter
+	height   = 7 * vg.Centimeter
 )
 
-// draw makes an SVG: curves over time with the troubles as bands behind them (one destination's, where it is of one), or
-// over a logarithm of seconds.
-func (r *Result) draw(unit string, log bool, dest int, lines []line) (string, error) {
+// draw returns a chart as SVG. The x axis is the time of the run, with the troubles of dest as shaded bands, or, with log, a
+// logarithmic scale of seconds without bands.
+func (r *Result) draw(unit string, log bool, dest int, curves []curve) (string, error) {
 	p := plot.New()
 	p.Y.Label.Text, p.X.Label.Text = unit, "seconds"
 	p.Y.Min = 0
 	p.Legend.Top, p.Legend.XOffs = true, vg.Points(-6)
 	p.Add(plotter.NewGrid())
-	top := 0.0
-	for _, l := range lines {
-		for _, xy := range l.xy {
-			top = max(top, xy.Y)
+	maxY := 0.0
+	for _, c := range curves {
+		for _, xy := range c.points {
+			maxY = max(maxY, xy.Y)
 		}
 	}
 	if log {
@@ -115,10 +116,10 @@
 	} else {
 		p.X.Min, p.X.Max = 0, r.EndedAt
 		for _, b := range r.Bands {
-			if dest != all && !slices.Contains(b.Dests, dest) && len(b.Dests) > 0 {
+			if dest != allDests && !slices.Contains(b.Dests, dest) && len(b.Dests) > 0 {
 				continue
 			}
-			band, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: 0}, {X: min(b.To, r.EndedAt), Y: 0}, {X: min(b.To, r.EndedAt), Y: top}, {X: b.From, Y: top}})
+			band, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: 0}, {X: min(b.To, r.EndedAt), Y: 0}, {X: min(b.To, r.EndedAt), Y: maxY}, {X: b.From, Y: maxY}})
 			if err != nil {
 				return "", err
 			}
@@ -126,20 +127,20 @@
 			p.Add(band)
 		}
 	}
-	for i, l := range lines {
-		if len(l.xy) == 0 {
+	for i, c := range curves {
+		if len(c.points) == 0 {
 			continue
 		}
-		curve, err := plotter.NewLine(l.xy)
+		plotted, err := plotter.NewLine(c.points)
 		if err != nil {
 			return "", err
 		}
-		curve.Color, curve.Width = colours[i%len(colours)], vg.Points(1.5)
-		p.Add(curve)
-		p.Legend.Add(l.name, curve)
+		plotted.Color, plotted.Width = colours[i%len(colours)], vg.Points(1.5)
+		p.Add(plotted)
+		p.Legend.Add(c.name, plotted)
 	}
-	const headroom = 1.4 // for the legend
-	if p.Y.Max = max(top*headroom, 1e-9); log {
+	const headroom = 1.4 // space for the legend, as a factor on the largest value
+	if p.Y.Max = max(maxY*headroom, 1e-9); log {
 		p.Y.Max = 1
 	}
 	canvas := vgsvg.New(width, height)
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -12,9 +12,9 @@
 	"orchiddrift/lab/scenario"
 )
 
-// run has four notifications of a plan of five: one in time, one late after a push that failed, one refused and then
-// handed back, one given up.
-func run() *report.Result {
+// newResult returns the result of a run that handed in four of five planned notifications: one delivered in time, one
+// delivered late after a failed push, one refused and then handed back, one given up.
+func newResult() *report.Result {
 	s := &scenario.Scenario{Name: "x", Title: "Four", Length: 4, Kinds: []scenario.Kind{{Name: "k"}}, Load: scenario.Load{Rate: 1},
 		Groups:   []scenario.DestinationGroup{{Count: 1, Kind: "k", Endpoints: 1, Share: 1, MinRate: 1}},
 		Topics:   []scenario.Topic{{Name: "t", Objective: 1, TTL: 5, Benefit: 2, LateBenefit: 0.5}},
@@ -43,7 +43,7 @@
 }
 
 func Example_figures() {
-	r := run()
+	r := newResult()
 	fmt.Printf("%+v\n", r.Totals)
 	f := r.Figures
 	fmt.Printf("benefit %.4f, %.2f pushes each, %.2f s of CPU each, %.1f MB each owed\n", f.Benefit, f.PushesPerDelivered, f.CPUPerAccepted, f.MemoryPerOwed/1e6)
@@ -61,12 +61,12 @@
 	// <nil> 4 pictures, true
 }
 
-// Differences within the noise of repeats are told apart from those beyond it; single runs have no noise to tell.
+// A difference counts as beyond the noise only when it exceeds the variation between repeats, and never for single runs.
 func Example_compare() {
 	file := func(benefits ...float64) report.File {
 		var f report.File
 		for _, b := range benefits {
-			r := run()
+			r := newResult()
 			r.Figures = report.Figures{Benefit: b}
 			f.Runs = append(f.Runs, r)
 		}
--- a/lab/report/result.go
+++ b/lab/report/result.go
@@ -1,4 +1,5 @@
-// Package report turns what a run saw into figures, a table, pictures, and a comparison of two.
+// Package report computes the figures of a run from its records, writes them as a table, an HTML page or JSON, and compares
+// two sets of runs.
 package report
 
 import (
@@ -16,20 +17,20 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Result is one run in figures. All are simulated: partners, clients and the agent are the laboratory's.
+// Result holds the figures of one run. Partners, clients and the agent are simulated by the laboratory.
 type Result struct {
 	Scenario    string            `json:"scenario"`
 	Title       string            `json:"title"`
 	Version     string            `json:"version"`
 	Seed        uint64            `json:"seed"`
-	Direct      bool              `json:"straight,omitempty"` // to the partners, with no dispatcher between
+	Direct      bool              `json:"straight,omitempty"` // clients called the partners directly, without dispatchers
 	Interrupted bool              `json:"interrupted,omitempty"`
-	VoidReason  string            `json:"void,omitempty"` // why the run counts for nothing
+	VoidReason  string            `json:"void,omitempty"` // why the run is void; empty for a valid one
 	EndedAt     float64           `json:"ended_s"`
 	Totals      Totals            `json:"totals"`
 	Figures     Figures           `json:"figures"`
 	Topics      []Topic           `json:"topics"`
-	Partners    []Partner         `json:"partners"` // those with most calls
+	Partners    []Partner         `json:"partners"` // those with the most calls
 	Dispatchers []fleet.Usage     `json:"dispatchers"`
 	Lateness    load.Lateness     `json:"generator_late_s"`
 	Series      Series            `json:"series"`
@@ -37,44 +38,44 @@
 	Violations  []rules.Violation `json:"violations"`
 }
 
-// Totals are counts.
+// Totals are the counts of a run.
 type Totals struct {
 	Planned     int `json:"planned"`
-	HandedIn    int `json:"handed_in"`  // of the plan
-	Tries       int `json:"tries"`      // with those that clients made again
-	Accepted    int `json:"taken"`      // tries taken on
-	Refused     int `json:"refused"`    // tries throttled at once
-	Unanswered  int `json:"unanswered"` // tries with no answer
-	Delivered   int `json:"delivered"`  // notifications of the plan
-	Late        int `json:"late"`       // of them beyond their objective
+	HandedIn    int `json:"handed_in"`  // notifications of the plan that were handed in
+	Tries       int `json:"tries"`      // hand-ins, retries included
+	Accepted    int `json:"taken"`      // tries accepted by a dispatcher
+	Refused     int `json:"refused"`    // tries answered with a refusal
+	Unanswered  int `json:"unanswered"` // tries without an answer
+	Delivered   int `json:"delivered"`  // notifications of the plan, each counted once
+	Late        int `json:"late"`       // of those delivered, after their objective
 	GivenUp     int `json:"given_up"`
 	HandedBack  int `json:"handed_back"`
-	Unfinished  int `json:"unfinished"` // taken on, and no answer when the run ended
+	Unfinished  int `json:"unfinished"` // accepted tries without a final answer at the end of the run
 	Calls       int `json:"calls"`
-	Pushes      int `json:"pushes"` // notifications in them
+	Pushes      int `json:"pushes"` // notifications in the calls
 	Throttled   int `json:"turned_away"`
-	Wasted      int `json:"wasted"` // pushes that ran, or may have, and delivered nothing
+	Wasted      int `json:"wasted"` // pushes that were or may have been executed and did not deliver
 	Connections int `json:"connections"`
-	MaxOwed     int `json:"most_owed"` // taken on and not over, at the worst moment
+	MaxOwed     int `json:"most_owed"` // largest number of accepted notifications without a final answer
 }
 
-// Figures are what runs are compared by. Times are seconds.
+// Figures are the values by which runs are compared. Times are in seconds.
 type Figures struct {
-	Benefit            float64 `json:"benefit"` // delivered over asked for
+	Benefit            float64 `json:"benefit"` // benefit delivered over benefit planned
 	AcceptedRate       float64 `json:"taken_per_s"`
-	AnswerP99          float64 `json:"answer_p99_s"` // from the planned moment to the client's answer
-	PushP50            float64 `json:"push_p50_s"`   // from the hand-in to the first push's last byte
+	AnswerP99          float64 `json:"answer_p99_s"` // from the planned time to the client's answer, for accepted tries
+	PushP50            float64 `json:"push_p50_s"`   // from the hand-in to the last byte of the first push
 	PushP99            float64 `json:"push_p99_s"`
 	PushP999           float64 `json:"push_p999_s"`
-	DeliveredP50       float64 `json:"delivered_p50_s"` // from the planned moment
+	DeliveredP50       float64 `json:"delivered_p50_s"` // from the planned time
 	DeliveredP99       float64 `json:"delivered_p99_s"`
 	PushesPerDelivered float64 `json:"pushes_per_delivered"`
 	CPUPerAccepted     float64 `json:"cpu_s_per_taken"`
-	MemoryPeak         float64 `json:"memory_peak_bytes"` // the largest dispatcher
-	MemoryPerOwed      float64 `json:"memory_per_owed"`   // what its memory grew by, over what was owed at the worst moment
+	MemoryPeak         float64 `json:"memory_peak_bytes"` // of the dispatcher with the largest peak
+	MemoryPerOwed      float64 `json:"memory_per_owed"`   // its growth in memory over its part of the largest number owed
 }
 
-// Topic is one topic type's part.
+// Topic holds the figures of one topic type.
 type Topic struct {
 	Name      string       `json:"name"`
 	Planned   int          `json:"planned"`
@@ -86,20 +87,20 @@
 	P90       float64      `json:"p90_s"`
 	P99       float64      `json:"p99_s"`
 	P999      float64      `json:"p999_s"`
-	Curve     []CurvePoint `json:"curve"` // of the latencies
+	Curve     []CurvePoint `json:"curve"` // distribution of the latencies
 }
 
-// CurvePoint is a point of a distribution: a share of all took this long at most.
+// CurvePoint is a point of a distribution: Share of all values are at most Seconds.
 type CurvePoint struct {
 	Share   float64 `json:"share"`
 	Seconds float64 `json:"s"`
 }
 
-// Partner is one destination's part.
+// Partner holds the figures of one destination.
 type Partner struct {
 	Dest      int       `json:"dest"`
 	Kind      string    `json:"kind"`
-	Rate      float64   `json:"rate"` // calls a second that it can take
+	Rate      float64   `json:"rate"` // capacity outside slow start, in calls per second
 	Calls     int       `json:"calls"`
 	Throttled int       `json:"turned_away"`
 	Delivered int       `json:"delivered"`
@@ -107,7 +108,7 @@
 	Capacity  []float64 `json:"capacity_per_s"`
 }
 
-// Series are counts by time, each over one step.
+// Series are values over time, one per step. All but Owed and PushesInFlight are rates per second.
 type Series struct {
 	Step           float64   `json:"step_s"`
 	Offered        []float64 `json:"offered_per_s"`
@@ -119,15 +120,15 @@
 	PushesInFlight []float64 `json:"pushes_out"`
 }
 
-// Band is a trouble on the time axis.
+// Band is the time span of a trouble. The page template reads its fields by name.
 type Band struct {
 	Kind  string  `json:"kind"`
 	From  float64 `json:"from"`
 	To    float64 `json:"to"`
-	Dests []int   `json:"destinations,omitempty"` // of partners
+	Dests []int   `json:"destinations,omitempty"` // affected partners
 }
 
-// RunData is what a run left.
+// RunData is the input for the figures of a run.
 type RunData struct {
 	World    *scenario.World
 	Journal  *record.Journal
@@ -139,51 +140,60 @@
 }
 
 const (
-	most         = 600_000_000 // microseconds: the longest run
-	digits       = 3
-	partnersKept = 12
+	maxLatencyMicros  = 600_000_000 // upper end of histograms, in microseconds: the longest run
+	significantDigits = 3           // precision of histograms
+	maxPartners       = 12          // destinations listed in a result
 )
 
-// times gathers latencies.
-type times struct{ *hdrhistogram.Histogram }
+// latencies is a histogram of latencies.
+type latencies struct{ *hdrhistogram.Histogram }
 
-func newTimes() times { return times{hdrhistogram.New(1, most, digits)} }
+func newLatencies() latencies {
+	return latencies{hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
+}
 
-func (t times) add(s float64) { _ = t.RecordValue(min(most, max(1, int64(s*1e6)))) }
+// add records a latency in seconds.
+func (l latencies) add(seconds float64) {
+	_ = l.RecordValue(min(maxLatencyMicros, max(1, int64(seconds*1e6))))
+}
 
-func (t times) at(q float64) float64 { return float64(t.ValueAtQuantile(q)) / 1e6 }
+// percentile returns a percentile in seconds.
+func (l latencies) percentile(percent float64) float64 {
+	return float64(l.ValueAtQuantile(percent)) / 1e6
+}
 
-// curve gives the distribution in few points, closer towards its end.
-func (t times) curve() []CurvePoint {
+// curve returns points of the distribution, denser towards the high percentiles.
+func (l latencies) curve() []CurvePoint {
 	var list []CurvePoint
-	for _, q := range []float64{1, 5, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 100} {
-		list = append(list, CurvePoint{q / 100, t.at(q)})
+	for _, percent := range []float64{1, 5, 10, 25, 50, 75, 90, 95, 97.5, 99, 99.5, 99.9, 100} {
+		list = append(list, CurvePoint{percent / 100, l.percentile(percent)})
 	}
 	return list
 }
 
-// series adds amounts into steps of time.
-type series struct {
+// timeSeries sums amounts in time steps of a fixed length in seconds.
+type timeSeries struct {
 	step float64
 	list []float64
 }
 
-func (s series) add(at, n float64) {
+// add adds an amount to the step of a time. Times outside the series are ignored.
+func (s timeSeries) add(at, n float64) {
 	if i := int(at / s.step); at >= 0 && i < len(s.list) {
 		s.list[i] += n
 	}
 }
 
-// rate turns counts into counts a second.
-func (s series) rate() []float64 {
+// ratesPerSecond converts the sums in place to rates per second and returns them.
+func (s timeSeries) ratesPerSecond() []float64 {
 	for i := range s.list {
 		s.list[i] /= s.step
 	}
 	return s.list
 }
 
-// level turns comings and goings into how many are there.
-func (s series) level() []float64 {
+// runningSums converts the sums in place to running sums and returns them.
+func (s timeSeries) runningSums() []float64 {
 	sum := 0.0
 	for i, n := range s.list {
 		sum += n
@@ -192,43 +202,44 @@
 	return s.list
 }
 
-// fates is what became of each hand-in.
-type fates struct {
-	delivered map[string]float64
-	first     map[string]float64 // its first push
+// outcomeIndex holds the outcomes of hand-ins by their IDs.
+type outcomeIndex struct {
+	delivered map[string]float64 // when its first delivery ended
+	firstPush map[string]float64 // when the last byte of its first push arrived
 	notices   map[string]record.Notice
 }
 
-func readFates(j *record.Journal) fates {
-	f := fates{map[string]float64{}, map[string]float64{}, map[string]record.Notice{}}
+// readOutcomes returns the outcomes that a journal records. The journal must not change meanwhile.
+func readOutcomes(j *record.Journal) outcomeIndex {
+	index := outcomeIndex{map[string]float64{}, map[string]float64{}, map[string]record.Notice{}}
 	for _, c := range j.Calls {
 		for i, id := range c.IDs {
-			if at, ok := f.first[id]; !ok || c.LastByteAt < at {
-				f.first[id] = c.LastByteAt
+			if at, ok := index.firstPush[id]; !ok || c.LastByteAt < at {
+				index.firstPush[id] = c.LastByteAt
 			}
 			if i < len(c.States) && c.States[i] == record.Delivered && c.EndedAt > 0 && !c.CallerClosed {
-				if at, ok := f.delivered[id]; !ok || c.EndedAt < at {
-					f.delivered[id] = c.EndedAt
+				if at, ok := index.delivered[id]; !ok || c.EndedAt < at {
+					index.delivered[id] = c.EndedAt
 				}
 			}
 		}
 	}
 	for _, n := range j.Notices {
-		if _, again := f.notices[n.ID]; !again {
-			f.notices[n.ID] = n
+		if _, again := index.notices[n.ID]; !again {
+			index.notices[n.ID] = n
 		}
 	}
-	return f
+	return index
 }
 
-// CountOwed tells how many that were taken on have no final answer yet.
+// CountOwed returns how many accepted hand-ins have no final answer yet.
 func CountOwed(j *record.Journal) int {
 	n := 0
 	j.WithLock(func() {
-		f := readFates(j)
+		outcomes := readOutcomes(j)
 		for _, h := range j.HandIns {
-			_, delivered := f.delivered[h.ID]
-			_, noticed := f.notices[h.ID]
+			_, delivered := outcomes.delivered[h.ID]
+			_, noticed := outcomes.notices[h.ID]
 			if h.Accepted() && !delivered && !noticed {
 				n++
 			}
@@ -237,27 +248,27 @@
 	return n
 }
 
-// New makes the figures of a run.
+// New returns the figures of a run. The journal must not change meanwhile.
 func New(run RunData) *Result {
 	w, j := run.World, run.Journal
 	r := &Result{Scenario: w.Name, Title: w.Title, Seed: w.Seed, EndedAt: run.EndedAt, Lateness: run.Lateness, Dispatchers: run.Usage}
 	r.Totals.Planned, r.Totals.HandedIn = run.Planned, run.HandedIn
 	step := max(0.1, run.EndedAt/120)
 	n := int(run.EndedAt/step) + 1
-	line := func() series { return series{step, make([]float64, n)} }
-	offered, delivered, late, refused, ended, owed, out := line(), line(), line(), line(), line(), line(), line()
+	newSeries := func() timeSeries { return timeSeries{step, make([]float64, n)} }
+	offered, delivered, late, refused, notices, owed, inFlight := newSeries(), newSeries(), newSeries(), newSeries(), newSeries(), newSeries(), newSeries()
 
-	f := readFates(j)
+	outcomes := readOutcomes(j)
 	topics := map[string]int{}
-	var byTopic []times
-	var earned, asked []float64
+	var byTopic []latencies
+	var earned, planned []float64
 	for i, t := range w.Topics {
 		topics[t.Name] = i
 		r.Topics = append(r.Topics, Topic{Name: t.Name})
-		byTopic, earned, asked = append(byTopic, newTimes()), append(earned, 0), append(asked, 0)
+		byTopic, earned, planned = append(byTopic, newLatencies()), append(earned, 0), append(planned, 0)
 	}
-	answers, pushes, deliveries := newTimes(), newTimes(), newTimes()
-	best := map[int]float64{} // by notification of the plan: when it was delivered
+	answers, pushes, deliveries := newLatencies(), newLatencies(), newLatencies()
+	deliveredAt := map[int]float64{} // by index in the plan: when the notification was first delivered
 	for _, h := range j.HandIns {
 		i := topics[h.Topic]
 		t := &r.Topics[i]
@@ -265,13 +276,13 @@
 		if h.Try == 0 {
 			offered.add(h.PlannedAt, 1)
 			t.Planned++
-			asked[i] += w.Topics[i].Benefit
+			planned[i] += w.Topics[i].Benefit
 		}
 		switch {
 		case h.Accepted():
 			r.Totals.Accepted++
 			answers.add(h.AnsweredAt - h.PlannedAt)
-			if at, ok := f.first[h.ID]; ok {
+			if at, ok := outcomes.firstPush[h.ID]; ok {
 				pushes.add(at - h.SentAt)
 			}
 		case h.Status > 0:
@@ -283,31 +294,31 @@
 		if !h.Accepted() {
 			continue
 		}
-		at, ok := f.delivered[h.ID]
-		notice, told := f.notices[h.ID]
-		over := at
+		at, ok := outcomes.delivered[h.ID]
+		notice, noticed := outcomes.notices[h.ID]
+		endedAt := at
 		switch {
 		case ok:
-			if was, again := best[h.PlanIndex]; !again || at < was {
-				best[h.PlanIndex] = at
+			if earlier, again := deliveredAt[h.PlanIndex]; !again || at < earlier {
+				deliveredAt[h.PlanIndex] = at
 				if !again {
-					took := at - h.PlannedAt
+					latency := at - h.PlannedAt
 					r.Totals.Delivered++
 					t.Delivered++
-					deliveries.add(took)
-					byTopic[i].add(took)
+					deliveries.add(latency)
+					byTopic[i].add(latency)
 					delivered.add(at, 1)
-					earned[i] += worth(w.Topics[i], took)
-					if took > w.Topics[i].Objective {
+					earned[i] += earnedBenefit(w.Topics[i], latency)
+					if latency > w.Topics[i].Objective {
 						r.Totals.Late++
 						t.Late++
 						late.add(at, 1)
 					}
 				}
 			}
-		case told:
-			over = notice.At
-			ended.add(notice.At, 1)
+		case noticed:
+			endedAt = notice.At
+			notices.add(notice.At, 1)
 			if notice.Outcome == record.HandedBack {
 				r.Totals.HandedBack++
 			} else {
@@ -315,20 +326,20 @@
 				t.GivenUp++
 			}
 		default:
-			over = run.EndedAt
+			endedAt = run.EndedAt
 			r.Totals.Unfinished++
 		}
 		owed.add(h.AnsweredAt, 1)
-		owed.add(max(over, h.AnsweredAt), -1)
+		owed.add(max(endedAt, h.AnsweredAt), -1)
 	}
-	r.calls(run, out)
+	r.countCalls(run, inFlight)
 	for i := range r.Topics {
 		t := &r.Topics[i]
-		t.P50, t.P90, t.P99, t.P999 = byTopic[i].at(50), byTopic[i].at(90), byTopic[i].at(99), byTopic[i].at(99.9)
+		t.P50, t.P90, t.P99, t.P999 = byTopic[i].percentile(50), byTopic[i].percentile(90), byTopic[i].percentile(99), byTopic[i].percentile(99.9)
 		t.Curve = byTopic[i].curve()
-		t.Benefit = over(earned[i], asked[i])
+		t.Benefit = ratio(earned[i], planned[i])
 	}
-	r.Series = Series{step, offered.rate(), delivered.rate(), late.rate(), refused.rate(), ended.rate(), owed.level(), out.level()}
+	r.Series = Series{step, offered.ratesPerSecond(), delivered.ratesPerSecond(), late.ratesPerSecond(), refused.ratesPerSecond(), notices.ratesPerSecond(), owed.runningSums(), inFlight.runningSums()}
 	r.Totals.MaxOwed = int(slices.Max(r.Series.Owed))
 	for _, t := range w.Troubles {
 		if !t.AffectsPartners() {
@@ -339,36 +350,36 @@
 		r.Bands = append(r.Bands, Band{f.Kind, f.At, max(f.End(), f.At+f.Wait), slices.Sorted(maps.Keys(f.Dests))})
 	}
 	slices.SortStableFunc(r.Bands, func(a, b Band) int { return cmp.Compare(a.From, b.From) })
-	r.Figures = Figures{Benefit: over(sum(earned), sum(asked)), AcceptedRate: float64(r.Totals.Accepted) / min(w.Length, max(run.EndedAt, 1)),
-		AnswerP99: answers.at(99), PushP50: pushes.at(50), PushP99: pushes.at(99), PushP999: pushes.at(99.9),
-		DeliveredP50: deliveries.at(50), DeliveredP99: deliveries.at(99),
-		PushesPerDelivered: over(float64(r.Totals.Pushes), float64(r.Totals.Delivered))}
-	cpu, peak, rest := 0.0, 0, 0
+	r.Figures = Figures{Benefit: ratio(sum(earned), sum(planned)), AcceptedRate: float64(r.Totals.Accepted) / min(w.Length, max(run.EndedAt, 1)),
+		AnswerP99: answers.percentile(99), PushP50: pushes.percentile(50), PushP99: pushes.percentile(99), PushP999: pushes.percentile(99.9),
+		DeliveredP50: deliveries.percentile(50), DeliveredP99: deliveries.percentile(99),
+		PushesPerDelivered: ratio(float64(r.Totals.Pushes), float64(r.Totals.Delivered))}
+	cpu, maxPeak, atRest := 0.0, 0, 0
 	for _, u := range run.Usage {
 		cpu += u.CPUSeconds
-		if u.PeakBytes > peak {
-			peak, rest = u.PeakBytes, u.IdleBytes
+		if u.PeakBytes > maxPeak {
+			maxPeak, atRest = u.PeakBytes, u.IdleBytes
 		}
 	}
-	r.Figures.CPUPerAccepted, r.Figures.MemoryPeak = over(cpu, float64(r.Totals.Accepted)), float64(peak)
-	r.Figures.MemoryPerOwed = over(float64(peak-rest), float64(r.Totals.MaxOwed)/max(1, float64(len(run.Usage))))
+	r.Figures.CPUPerAccepted, r.Figures.MemoryPeak = ratio(cpu, float64(r.Totals.Accepted)), float64(maxPeak)
+	r.Figures.MemoryPerOwed = ratio(float64(maxPeak-atRest), float64(r.Totals.MaxOwed)/max(1, float64(len(run.Usage))))
 	return r
 }
 
-// calls counts what reached the partners.
-func (r *Result) calls(run RunData, out series) {
+// countCalls adds the figures of the calls that reached the partners. It adds pushes in flight to inFlight.
+func (r *Result) countCalls(run RunData, inFlight timeSeries) {
 	w := run.World
 	partners := make([]Partner, len(w.Partners))
-	perDest := make([]series, len(w.Partners))
+	perDest := make([]timeSeries, len(w.Partners))
 	seconds := int(run.EndedAt) + 1
 	conns := map[int]bool{}
 	for _, c := range run.Journal.Calls {
 		r.Totals.Calls++
 		r.Totals.Pushes += len(c.IDs)
 		conns[c.ConnID] = true
-		out.add(c.LastByteAt, float64(len(c.IDs)))
+		inFlight.add(c.LastByteAt, float64(len(c.IDs)))
 		if c.EndedAt > 0 {
-			out.add(c.EndedAt, -float64(len(c.IDs)))
+			inFlight.add(c.EndedAt, -float64(len(c.IDs)))
 		}
 		if c.Dest < 0 || c.Dest >= len(partners) {
 			continue
@@ -376,17 +387,17 @@
 		p := &partners[c.Dest]
 		p.Calls++
 		if perDest[c.Dest].list == nil {
-			perDest[c.Dest] = series{1, make([]float64, seconds)}
+			perDest[c.Dest] = timeSeries{1, make([]float64, seconds)}
 		}
 		perDest[c.Dest].add(c.LastByteAt, 1)
-		for i, s := range c.States {
+		for i, state := range c.States {
 			switch {
-			case s == record.Throttled:
+			case state == record.Throttled:
 				r.Totals.Throttled++
 				p.Throttled++
-			case s == record.Delivered && c.EndedAt > 0 && !c.CallerClosed:
+			case state == record.Delivered && c.EndedAt > 0 && !c.CallerClosed:
 				p.Delivered++
-			case c.Ran[i] || s != record.Delivered:
+			case c.Ran[i] || state != record.Delivered:
 				r.Totals.Wasted++
 			}
 		}
@@ -396,13 +407,13 @@
 		partners[i].Dest, partners[i].Kind, partners[i].Rate = i, w.Partners[i].Kind.Name, w.Partners[i].Rate
 	}
 	slices.SortStableFunc(partners, func(a, b Partner) int { return cmp.Compare(b.Calls, a.Calls) })
-	for _, p := range partners[:min(partnersKept, len(partners))] {
+	for _, p := range partners[:min(maxPartners, len(partners))] {
 		if p.CallRate = perDest[p.Dest].list; p.CallRate == nil {
 			continue
 		}
-		for s := range seconds {
-			capacity := p.Rate * w.CapacityShare(p.Dest, float64(s)+0.5)
-			if w.InOutage(p.Dest, float64(s)+0.5) {
+		for second := range seconds {
+			capacity := p.Rate * w.CapacityShare(p.Dest, float64(second)+0.5)
+			if w.InOutage(p.Dest, float64(second)+0.5) {
 				capacity = 0
 			}
 			p.Capacity = append(p.Capacity, capacity)
@@ -411,19 +422,20 @@
 	}
 }
 
-// worth is what a notification earns that was delivered after so long: all within its objective, then less, down to its
-// late part at the TTL.
-func worth(t scenario.Topic, took float64) float64 {
+// earnedBenefit returns the benefit of a notification that was delivered with a latency in seconds: all of it within the
+// objective, then falling linearly to the late benefit at the TTL, and none after it.
+func earnedBenefit(t scenario.Topic, latency float64) float64 {
 	switch {
-	case took <= t.Objective:
+	case latency <= t.Objective:
 		return t.Benefit
-	case took > t.TTL:
+	case latency > t.TTL:
 		return 0
 	}
-	return t.Benefit * (1 - (1-t.LateBenefit)*(took-t.Objective)/max(t.TTL-t.Objective, 1e-9))
+	return t.Benefit * (1 - (1-t.LateBenefit)*(latency-t.Objective)/max(t.TTL-t.Objective, 1e-9))
 }
 
-func over(a, b float64) float64 {
+// ratio returns a over b, or 0 where that is undefined.
+func ratio(a, b float64) float64 {
 	if b == 0 || math.IsNaN(a) {
 		return 0
 	}
