--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab plays scenarios: it surrounds real dispatcher processes with partners, the platform's agent and clients, all
-// on loopback, and judges and counts what happened. It imports the product; the product never imports it.
+// Package lab plays scenarios: it runs real dispatcher processes against simulated partners, platform agents and clients, all
+// on loopback, checks the rules and computes the figures of the run. It imports the product; the product never imports it.
 package lab
 
 import (
@@ -23,55 +23,58 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Options say how a scenario is played.
+// Options configures how a scenario is played.
 type Options struct {
 	Command     fleet.Command           // starts a dispatcher
-	Direct      bool                    // hand in straight to the partners, with no dispatcher
-	StateDir    string                  // where the dispatchers' lasting folders are made; "" for the temporary folder
-	KeepDir     string                  // a folder for configurations, logs and the journal; "" to throw them away
-	Network     loop.Network            // 0 to find a free one
-	Progress    func(Progress)          // called once a second
-	AnswerShape partner.ResponseEncoder // of endpoints' answers on the wire; nil: with a length
-	Hooks       Hooks                   // nil for nothing
+	Direct      bool                    // call the partners directly, without dispatchers
+	StateDir    string                  // parent of the dispatchers' state directories; "" for the temporary directory
+	KeepDir     string                  // directory for configurations, logs and the journal; "" to discard them
+	Network     loop.Network            // 0 picks a free one
+	Progress    func(Progress)          // called about once per second; may be nil
+	AnswerShape partner.ResponseEncoder // form of the endpoints' answers on the wire; nil: with a Content-Length
+	Hooks       Hooks                   // may be nil
 }
 
-// Hooks is what else goes on in a run: Begin is called once all stands, before the load comes, and gives the front that
-// clients go through; Over is called once the load is over and all that was taken on is too, while the dispatchers still run.
+// Hooks lets a caller act during a run.
 type Hooks interface {
-	BeforeLoad(ctx context.Context, n loop.Network, j *record.Journal, c *loop.Clock, front load.Balancer) (load.Balancer, error)
+	// BeforeLoad is called when partners, agents and dispatchers are running and before the load starts. It gets the
+	// clients' balancer and returns the one that they use instead.
+	BeforeLoad(ctx context.Context, n loop.Network, j *record.Journal, c *loop.Clock, balancer load.Balancer) (load.Balancer, error)
+	// AfterLoad is called when the load is over and the run needs no more final answers, while the dispatchers still run.
 	AfterLoad()
 }
 
-// Progress is how far a run is.
+// Progress is the state of a run in progress.
 type Progress struct {
 	At, Length        float64
 	HandedIn, Planned int
 	Calls, Notices    int
-	LoadDone          bool // the load is over, and what was taken on is waited for
+	LoadDone          bool // the load is over, and the run waits for final answers
 }
 
 const (
-	lookEvery = 100 * time.Millisecond
-	tellEvery = time.Second
-	goOn      = 0.4 // after the last moment at which a rule could still be judged
+	pollInterval     = 100 * time.Millisecond
+	progressInterval = time.Second
+	judgingMargin    = 0.4 // seconds after the last TTL in which a rule can still be judged
 )
 
-// Run plays a scenario. When ctx ends early the result is of what was played, and says so; the journal comes too.
+// Run plays a scenario and returns its result and journal. When ctx is cancelled, the result covers the part that was played
+// and is marked as interrupted.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*report.Result, *record.Journal, error) {
 	w := scenario.NewWorld(s)
 	j, clock := &record.Journal{}, &loop.Clock{}
-	dir, err := folder(o.KeepDir)
+	dir, err := makeDir(o.KeepDir)
 	if err != nil {
 		return nil, nil, err
 	}
 	if o.KeepDir == "" {
 		defer os.RemoveAll(dir)
 	}
-	state, err := os.MkdirTemp(o.StateDir, "orchiddrift-state-")
+	stateDir, err := os.MkdirTemp(o.StateDir, "orchiddrift-state-")
 	if err != nil {
 		return nil, nil, fmt.Errorf("--state: %w", err)
 	}
-	defer os.RemoveAll(state)
+	defer os.RemoveAll(stateDir)
 	network := o.Network
 	if network == 0 {
 		var release func()
@@ -96,37 +99,37 @@
 	if o.Direct {
 		clients.Balancer = &load.Direct{World: w, Addr: partners.Addr}
 	} else {
-		dispatchers, err = fleet.Start(ctx, w, j, clock, network, agents.InitialList(), o.Command, dir, state)
+		dispatchers, err = fleet.Start(ctx, w, j, clock, network, agents.InitialList(), o.Command, dir, stateDir)
 		if err != nil {
 			dispatchers.Stop()
 			return nil, nil, err
 		}
 	}
-	playing, played := context.WithCancel(ctx)
-	defer played()
+	runCtx, endRun := context.WithCancel(ctx)
+	defer endRun()
 	clock.Start()
 	if dispatchers != nil {
-		dispatchers.InjectFaults(playing)
+		dispatchers.InjectFaults(runCtx)
 	}
-	go busyDisk(playing, w, clock, state)
+	go busyDisk(runCtx, w, clock, stateDir)
 	if o.Hooks != nil {
-		if clients.Balancer, err = o.Hooks.BeforeLoad(playing, network, j, clock, clients.Balancer); err != nil {
+		if clients.Balancer, err = o.Hooks.BeforeLoad(runCtx, network, j, clock, clients.Balancer); err != nil {
 			dispatchers.Stop()
 			return nil, nil, err
 		}
 	}
-	loaded := make(chan struct{})
+	loadDone := make(chan struct{})
 	go func() {
-		clients.Run(playing)
-		close(loaded)
+		clients.Run(runCtx)
+		close(loadDone)
 	}()
-	await(ctx, w, j, clock, clients, loaded, o)
-	ended := clock.Now()
+	awaitEnd(ctx, w, j, clock, clients, loadDone, o)
+	endedAt := clock.Now()
 	if o.Hooks != nil {
 		o.Hooks.AfterLoad()
 	}
-	played()
-	<-loaded
+	endRun()
+	<-loadDone
 	var usage []fleet.Usage
 	if dispatchers != nil {
 		usage = dispatchers.Usage()
@@ -135,65 +138,68 @@
 
 	var result *report.Result
 	j.WithLock(func() {
-		result = report.New(report.RunData{World: w, Journal: j, EndedAt: ended, HandedIn: clients.Submitted(), Planned: clients.Planned(),
+		result = report.New(report.RunData{World: w, Journal: j, EndedAt: endedAt, HandedIn: clients.Submitted(), Planned: clients.Planned(),
 			Lateness: clients.Lateness(), Usage: usage})
 		if !o.Direct {
-			result.Violations = rules.Check(w, j, ended)
+			result.Violations = rules.Check(w, j, endedAt)
 		}
 	})
 	result.Direct, result.Interrupted = o.Direct, ctx.Err() != nil
-	if late := result.Lateness.P99; s.Load.ClosedLoop == 0 && late > s.Load.MaxLateness {
-		result.VoidReason = fmt.Sprintf("the generator itself was late by %.0f ms at p99, of %.0f ms allowed: lower load.rate or free cores",
-			late*1e3, s.Load.MaxLateness*1e3)
+	if lateness := result.Lateness.P99; s.Load.ClosedLoop == 0 && lateness > s.Load.MaxLateness {
+		result.VoidReason = fmt.Sprintf("load generator was late by %.0f ms at p99, more than the %.0f ms allowed: lower load.rate or free CPU cores",
+			lateness*1e3, s.Load.MaxLateness*1e3)
 	}
 	if o.KeepDir != "" {
-		err = keep(j, filepath.Join(dir, "journal.jsonl"))
+		err = writeJournal(j, filepath.Join(dir, "journal.jsonl"))
 	}
 	return result, j, err
 }
 
-// await returns when the load is over and so is all that was taken on, or when nothing of it can be judged any more.
-func await(ctx context.Context, w *scenario.World, j *record.Journal, clock *loop.Clock, clients *load.Generator,
-	loaded <-chan struct{}, o Options) {
-	longest := 0.0
+// awaitEnd returns when the load is over and all accepted notifications have their final answer, or when the time in which
+// they could get one has passed. It reports progress meanwhile.
+func awaitEnd(ctx context.Context, w *scenario.World, j *record.Journal, clock *loop.Clock, clients *load.Generator,
+	loadDone <-chan struct{}, o Options) {
+	maxTTL := 0.0
 	for _, t := range w.Topics {
-		longest = max(longest, t.TTL)
+		maxTTL = max(maxTTL, t.TTL)
 	}
-	over := false
-	for told := time.Now(); ctx.Err() == nil; {
+	loadOver := false
+	for lastProgress := time.Now(); ctx.Err() == nil; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 		select {
-		case <-loaded:
-			over = true
+		case <-loadDone:
+			loadOver = true
 		default:
 		}
-		if over && (o.Direct || clock.Now() > w.Length+longest+goOn || report.CountOwed(j) == 0 && clock.Now() >= w.Length) {
+		if loadOver && (o.Direct || clock.Now() > w.Length+maxTTL+judgingMargin || report.CountOwed(j) == 0 && clock.Now() >= w.Length) {
 			return
 		}
-		if o.Progress != nil && time.Since(told) >= tellEvery {
-			told = time.Now()
-			p := Progress{At: clock.Now(), Length: w.Length, HandedIn: clients.Submitted(), Planned: clients.Planned(), LoadDone: over}
+		if o.Progress != nil && time.Since(lastProgress) >= progressInterval {
+			lastProgress = time.Now()
+			p := Progress{At: clock.Now(), Length: w.Length, HandedIn: clients.Submitted(), Planned: clients.Planned(), LoadDone: loadOver}
 			j.WithLock(func() { p.Calls, p.Notices = len(j.Calls), len(j.Notices) })
 			o.Progress(p)
 		}
 	}
 }
 
-func folder(keep string) (string, error) {
-	if keep == "" {
+// makeDir creates the directory for configurations and logs, a temporary one if no path is given.
+func makeDir(path string) (string, error) {
+	if path == "" {
 		return os.MkdirTemp("", "orchiddrift-lab-")
 	}
-	if err := os.MkdirAll(keep, 0o755); err != nil {
+	if err := os.MkdirAll(path, 0o755); err != nil {
 		return "", fmt.Errorf("--keep: %w", err)
 	}
-	return keep, nil
+	return path, nil
 }
 
-func keep(j *record.Journal, path string) error {
+// writeJournal writes the journal to a file.
+func writeJournal(j *record.Journal, path string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
@@ -201,16 +207,17 @@
 	return errors.Join(j.Write(f), f.Close())
 }
 
-// busyDisk writes to the disk of the dispatchers' folders, and syncs, while a trouble says so.
+// busyDisk writes files to the disk of the dispatchers' state directories and syncs them, for the time of each busy-disk
+// trouble.
 func busyDisk(ctx context.Context, w *scenario.World, clock *loop.Clock, dir string) {
-	const size, block = 32 << 20, 1 << 20
+	const fileSize, blockSize = 32 << 20, 1 << 20
 	if !slices.ContainsFunc(w.Troubles, func(t scenario.Trouble) bool { return t.Kind == scenario.BusyDisk }) {
-		return // the noise below is worth making only for one that does
+		return // saves the random data below
 	}
-	noise := make([]byte, block)
-	chance := rand.New(rand.NewPCG(w.Seed, 0))
-	for i := range noise {
-		noise[i] = byte(chance.Uint32())
+	data := make([]byte, blockSize)
+	rng := rand.New(rand.NewPCG(w.Seed, 0))
+	for i := range data {
+		data[i] = byte(rng.Uint32())
 	}
 	for _, t := range w.Troubles {
 		if t.Kind != scenario.BusyDisk {
@@ -226,12 +233,12 @@
 			if err != nil {
 				return
 			}
-			for n := 0; n < size && err == nil; n += block {
-				_, err = f.Write(noise)
+			for n := 0; n < fileSize && err == nil; n += blockSize {
+				_, err = f.Write(data)
 			}
 			_ = f.Sync()
 			_ = os.Remove(f.Name())
-			_ = f.Close() // the blocks of a file without a name go here
+			_ = f.Close() // frees the blocks, as the file is already unlinked
 		}
 	}
 }
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -26,7 +26,7 @@
 	"orchiddrift/lab/scenario"
 )
 
-// TestMain lets the test binary stand in for the dispatcher, or for one that breaks a rule.
+// TestMain lets the test binary run as a dispatcher, or as a planted one that breaks a rule.
 func TestMain(m *testing.M) {
 	role, rule, _ := strings.Cut(os.Getenv("ORCHIDDRIFT_TEST"), ":")
 	var err error
@@ -44,10 +44,12 @@
 	}
 }
 
+// command returns the command that runs the test binary in a role of TestMain.
 func command(role string) fleet.Command {
 	return fleet.Command{Path: os.Args[0], Env: []string{"ORCHIDDRIFT_TEST=" + role}}
 }
 
+// open returns a shipped scenario.
 func open(name string) *scenario.Scenario {
 	s, err := scenario.Open(name)
 	if err != nil {
@@ -56,7 +58,7 @@
 	return s
 }
 
-// brokenRules names the rules that a run broke, in their order.
+// brokenRules returns the names of the rules that a run broke, in the order of rules.All.
 func brokenRules(r *report.Result) string {
 	seen := map[string]bool{}
 	for _, v := range r.Violations {
@@ -71,7 +73,7 @@
 	return strings.Join(list, " ")
 }
 
-// A dispatcher that breaks a rule is seen to break it; one that keeps all, and the real one, are not.
+// A planted dispatcher that breaks a rule is found to break it. One that keeps all rules and the real dispatcher are not.
 func TestPlanted(t *testing.T) {
 	for _, rule := range append([]string{"none", "real"}, rules.All...) {
 		t.Run(rule, func(t *testing.T) {
@@ -89,22 +91,22 @@
 			}
 			got := brokenRules(r)
 			if want == "" && got != "" || !strings.Contains(got, want) {
-				t.Errorf("broke %q, want %q; first: %v", got, want, r.Violations[:min(3, len(r.Violations))])
+				t.Errorf("broken rules are %q, want %q; first violations: %v", got, want, r.Violations[:min(3, len(r.Violations))])
 			}
 			if r.Totals.HandedIn != r.Totals.Planned || r.Totals.Accepted == 0 {
-				t.Errorf("handed in %d of %d, %d taken on", r.Totals.HandedIn, r.Totals.Planned, r.Totals.Accepted)
+				t.Errorf("handed in %d of %d, %d accepted", r.Totals.HandedIn, r.Totals.Planned, r.Totals.Accepted)
 			}
 		})
 	}
 }
 
-// The real dispatcher keeps the rules where several things go wrong together.
+// The real dispatcher keeps the rules while several troubles act together.
 func TestScenarios(t *testing.T) {
 	for _, name := range []string{"tour", "all-at-once", "lost-and-killed", "cold-restart", "drain-in-wait", "late"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := open(name)
-			s.Load.Rate = 60 // a machine may have few cores, and others beside
+			s.Load.Rate = 60 // low enough for a machine with few cores and other load
 			r, j, err := lab.Run(context.Background(), s, lab.Options{Command: command("run")})
 			if err != nil {
 				t.Fatal(err)
@@ -122,8 +124,8 @@
 	}
 }
 
-// Dispatchers killed at random moments under load, again and again: ORCHIDDRIFT_KILLS=1000 is the long form. Each
-// notification taken on gets its one final answer, and no once-only one takes effect twice.
+// Dispatchers are killed at random times under load; ORCHIDDRIFT_KILLS sets how often, 1000 for the long form. Each accepted
+// notification gets exactly one final answer, and no once-only one takes effect twice.
 func TestKills(t *testing.T) {
 	t.Parallel()
 	const dispatchers, gap = 5, 0.7
@@ -133,9 +135,9 @@
 	}
 	s := open("calm")
 	s.Dispatchers.Count, s.Load.Rate = dispatchers, 150
-	chance := rand.New(rand.NewPCG(s.Seed, uint64(kills)))
+	rng := rand.New(rand.NewPCG(s.Seed, uint64(kills)))
 	for i := range kills {
-		at := 0.3 + gap*(float64(i/dispatchers)+chance.Float64()*0.9)
+		at := 0.3 + gap*(float64(i/dispatchers)+rng.Float64()*0.9)
 		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: scenario.Kill, At: at, Wait: 0.05, Dispatchers: []int{i % dispatchers}})
 		s.Length = max(s.Length, at+1)
 	}
@@ -146,20 +148,20 @@
 	for _, v := range r.Violations {
 		t.Error(v)
 	}
-	done := 0
-	for _, l := range j.ProcessEvents {
-		if l.Kind == record.Killed {
-			done++
+	killed := 0
+	for _, event := range j.ProcessEvents {
+		if event.Kind == record.Killed {
+			killed++
 		}
 	}
-	if done != kills || r.Totals.Delivered*3 < r.Totals.Planned {
-		t.Errorf("%d kills of %d, %d delivered of %d", done, kills, r.Totals.Delivered, r.Totals.Planned)
+	if killed != kills || r.Totals.Delivered*3 < r.Totals.Planned {
+		t.Errorf("%d of %d kills carried out, %d of %d delivered", killed, kills, r.Totals.Delivered, r.Totals.Planned)
 	}
-	t.Logf("%d kills in %.0f s: %d taken on, %d delivered, %d given up, %d handed back, %d pushes", done, r.EndedAt, r.Totals.Accepted,
+	t.Logf("%d kills in %.0f s: %d accepted, %d delivered, %d given up, %d handed back, %d pushes", killed, r.EndedAt, r.Totals.Accepted,
 		r.Totals.Delivered, r.Totals.GivenUp, r.Totals.HandedBack, r.Totals.Pushes)
 }
 
-// What does not come up is told in one line, and leaves nothing behind.
+// A component that fails to start gives an error of one line, and the run cleans up after itself.
 func TestBadStart(t *testing.T) {
 	s := open("calm")
 	network, release, err := loop.AcquireNetwork()
@@ -167,27 +169,27 @@
 		t.Fatal(err)
 	}
 	defer release()
-	taken, err := net.Listen("tcp", network.EndpointAddr(3))
+	occupied, err := net.Listen("tcp", network.EndpointAddr(3))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _, err = lab.Run(context.Background(), s, lab.Options{Command: command("run"), Network: network})
 	if err == nil || !strings.Contains(err.Error(), "address already in use") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a port in use: %v", err)
+		t.Errorf("start with a port in use: %v", err)
 	}
-	_ = taken.Close()
+	_ = occupied.Close()
 	s.Dispatchers.Count = 1
 	_, _, err = lab.Run(context.Background(), s, lab.Options{Command: command("planted:nothing"), Network: network})
 	if err == nil || !strings.Contains(err.Error(), "ended before it was ready") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a dispatcher that does not come up: %v", err)
+		t.Errorf("start of a dispatcher that exits: %v", err)
 	}
 	_, _, err = lab.Run(context.Background(), s, lab.Options{Command: command("run"), StateDir: "/nowhere"})
 	if err == nil || !strings.HasPrefix(err.Error(), "--state: ") {
-		t.Errorf("no folder: %v", err)
+		t.Errorf("start with a missing state directory: %v", err)
 	}
 }
 
-// An interrupted run ends its processes at once and keeps what it has.
+// An interrupted run ends its processes at once and keeps the records so far.
 func TestInterrupt(t *testing.T) {
 	s := open("calm")
 	dir := t.TempDir()
@@ -203,17 +205,17 @@
 	if info, err := os.Stat(filepath.Join(dir, "journal.jsonl")); err != nil || info.Size() == 0 {
 		t.Errorf("no journal: %v", err)
 	}
-	left := 0
+	remaining := 0
 	_ = filepath.WalkDir("/proc", func(path string, d fs.DirEntry, _ error) error {
 		if strings.Count(path, "/") > 2 {
 			return fs.SkipDir
 		}
 		if text, err := os.ReadFile(filepath.Join(path, "environ")); err == nil && strings.Contains(string(text), "ROUTER_CONFIG="+dir) {
-			left++
+			remaining++
 		}
 		return nil
 	})
-	if left > 0 {
-		t.Errorf("%d processes are left", left)
+	if remaining > 0 {
+		t.Errorf("%d processes still running", remaining)
 	}
 }
