--- a/lab/rules/flow.go
+++ b/lab/rules/flow.go
@@ -11,99 +11,101 @@
 	"orchiddrift/lab/scenario"
 )
 
-// pushed judges the returns of destinations: one is pushed over where two thirds of what did it came from dispatchers
-// that had seen it fail.
-func (c *check) pushed() {
-	for _, p := range c.world.Partners {
-		var back []scenario.Fault
-		for _, f := range c.world.Faults {
-			if f.CausesOutage() && !f.ReturnsWarm && f.Endpoint == 0 && f.Dests[p.Dest] {
-				back = append(back, f)
+// checkOverload checks the recovery of destinations after outages. An overload is a violation if at least minAwareShare of
+// the calls that caused it came from dispatchers that had seen the outage.
+func (c *checker) checkOverload() {
+	for _, partner := range c.world.Partners {
+		var outages []scenario.Fault
+		for _, fault := range c.world.Faults {
+			if fault.CausesOutage() && !fault.ReturnsWarm && fault.Endpoint == 0 && fault.Dests[partner.Dest] {
+				outages = append(outages, fault)
 			}
 		}
-		for _, f := range back {
-			c.returned(p, f)
+		for _, outage := range outages {
+			c.checkRecovery(partner, outage)
 		}
 	}
 }
 
-func (c *check) returned(p scenario.Partner, f scenario.Fault) {
-	strain := behaviour.OverloadDetector{OverloadFactor: c.world.Recovery.OverloadFactor, Span: c.world.Recovery.OverloadSpan, Capacity: func(now float64) float64 {
-		return p.Rate * c.world.CapacityShare(p.Dest, now)
+// checkRecovery checks one destination after one outage and reports at most one overload.
+func (c *checker) checkRecovery(partner scenario.Partner, outage scenario.Fault) {
+	detector := behaviour.OverloadDetector{OverloadFactor: c.world.Recovery.OverloadFactor, Span: c.world.Recovery.OverloadSpan, Capacity: func(now float64) float64 {
+		return partner.Rate * c.world.CapacityShare(partner.Dest, now)
 	}}
-	var by []int // the dispatchers of the calls since its return
+	var senders []int // the dispatcher of each call since the end of the outage
 	for _, call := range c.journal.Calls {
-		if call.Dest != p.Dest || call.LastByteAt < f.End() || call.LastByteAt > f.End()+c.world.Recovery.WarmUp || c.world.InOutage(p.Dest, call.LastByteAt) {
+		if call.Dest != partner.Dest || call.LastByteAt < outage.End() || call.LastByteAt > outage.End()+c.world.Recovery.WarmUp || c.world.InOutage(partner.Dest, call.LastByteAt) {
 			continue
 		}
-		d := c.dispatcher(call)
-		by = append(by, d)
-		if !strain.AddCall(call.LastByteAt) {
+		dispatcher := c.dispatcherOf(call)
+		senders = append(senders, dispatcher)
+		if !detector.AddCall(call.LastByteAt) {
 			continue
 		}
-		n, seen := len(strain.RecentCalls()), 0
-		for _, d := range by[len(by)-n:] {
-			if c.saw(d, p.Dest, f, call.LastByteAt) {
-				seen++
+		recent, aware := len(detector.RecentCalls()), 0
+		for _, sender := range senders[len(senders)-recent:] {
+			if c.sawOutage(sender, partner.Dest, outage, call.LastByteAt) {
+				aware++
 			}
 		}
-		if float64(seen) >= seenShare*float64(n) {
-			c.broken(Violation{Rule: Overload, At: call.LastByteAt, Dispatcher: d, ID: call.IDs[0], Endpoint: call.Endpoint, Evidence: fmt.Sprintf(
-				"back since %.3f, it can take %.2f calls/s and got %d in %.1f s, %d of them from dispatchers that had seen the outage",
-				f.End(), p.Rate*c.world.CapacityShare(p.Dest, call.LastByteAt), n, c.world.Recovery.OverloadSpan, seen)})
-			return // it has fallen
+		if float64(aware) >= minAwareShare*float64(recent) {
+			c.report(Violation{Rule: Overload, At: call.LastByteAt, Dispatcher: dispatcher, ID: call.IDs[0], Endpoint: call.Endpoint, Evidence: fmt.Sprintf(
+				"recovered at %.3f, capacity %.2f calls/s, got %d calls in %.1f s, %d of them from dispatchers that had seen the outage",
+				outage.End(), partner.Rate*c.world.CapacityShare(partner.Dest, call.LastByteAt), recent, c.world.Recovery.OverloadSpan, aware)})
+			return // the destination has collapsed
 		}
 	}
 }
 
-// saw tells whether a dispatcher's process of a moment had seen a call fail, or be refused, in an outage; one started
-// since knows nothing of it. Refused connections reach no journal: there, one that had something to push counts as
-// having tried.
-func (c *check) saw(d, dest int, f scenario.Fault, now float64) bool {
-	from := f.At
-	for _, l := range c.journal.ProcessEvents {
-		if l.Dispatcher == d && l.Kind == record.Started && l.At <= now {
-			from = max(from, l.At)
+// sawOutage reports whether the dispatcher's process that runs at now had a call fail or a connection refused in an outage.
+// A process that started later has not seen the outage. The journal has no refused connections, so a dispatcher that had
+// something to push to the destination counts as having tried.
+func (c *checker) sawOutage(dispatcher, dest int, outage scenario.Fault, now float64) bool {
+	since := outage.At
+	for _, event := range c.journal.ProcessEvents {
+		if event.Dispatcher == dispatcher && event.Kind == record.Started && event.At <= now {
+			since = max(since, event.At)
 		}
 	}
-	if f.Kind == scenario.RefuseConnections {
+	if outage.Kind == scenario.RefuseConnections {
 		return slices.ContainsFunc(c.journal.HandIns, func(h *record.HandIn) bool {
-			return h.Dispatcher == d && h.Dest == dest && h.Accepted() && h.AnsweredAt < f.End()-letPass && h.ExpiresAt > from && from < f.End()
+			return h.Dispatcher == dispatcher && h.Dest == dest && h.Accepted() && h.AnsweredAt < outage.End()-inFlightGrace && h.ExpiresAt > since && since < outage.End()
 		})
 	}
 	return slices.ContainsFunc(c.journal.Calls, func(call *record.Call) bool {
-		return call.Dest == dest && call.LastByteAt >= from && call.LastByteAt < f.End() && c.dispatcher(call) == d &&
+		return call.Dest == dest && call.LastByteAt >= since && call.LastByteAt < outage.End() && c.dispatcherOf(call) == dispatcher &&
 			(len(call.States) == 0 || call.States[0] != record.Delivered)
 	})
 }
 
-// order judges ordered topic types: by dispatcher and key, one at a time, as they were taken.
-func (c *check) order() {
-	type line struct {
+// checkOrder checks ordered topics: each dispatcher pushes the notifications of a key one at a time, in the order in which
+// it accepted them.
+func (c *checker) checkOrder() {
+	type queueKey struct {
 		dispatcher int
 		key        string
 	}
-	lines := map[line][]*record.HandIn{}
+	queues := map[queueKey][]*record.HandIn{}
 	for _, h := range c.journal.HandIns {
 		if h.Key != "" && h.Accepted() && c.topics[h.Topic].Ordered {
-			l := line{h.Dispatcher, h.Key}
-			lines[l] = append(lines[l], h)
+			queue := queueKey{h.Dispatcher, h.Key}
+			queues[queue] = append(queues[queue], h)
 		}
 	}
-	for _, list := range lines {
-		slices.SortStableFunc(list, func(a, b *record.HandIn) int { return cmp.Compare(a.SentAt, b.SentAt) })
-		free, last := math.Inf(-1), "" // when all that came before was over and out of the way, and which was the last of it
-		why := ""
-		for _, h := range list {
+	for _, queue := range queues {
+		slices.SortStableFunc(queue, func(a, b *record.HandIn) int { return cmp.Compare(a.SentAt, b.SentAt) })
+		freeAt, blocker := math.Inf(-1), "" // when the next notification may be pushed, and the notification that sets this time
+		reason := ""
+		for _, h := range queue {
 			for _, p := range c.pushes[h.ID] {
-				if p.FirstByteAt < free-slack {
-					c.broken(Violation{Rule: Order, At: p.FirstByteAt, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: p.Endpoint, Evidence: fmt.Sprintf(
-						"pushed at %.3f; %s of the same key (%s) was taken before it and %s until %.3f", p.FirstByteAt, last, h.Key, why, free)})
+				if p.FirstByteAt < freeAt-timingSlack {
+					c.report(Violation{Rule: Order, At: p.FirstByteAt, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: p.Endpoint, Evidence: fmt.Sprintf(
+						"pushed at %.3f; %s of the same key (%s) was accepted before it and %s until %.3f", p.FirstByteAt, blocker, h.Key, reason, freeAt)})
 				}
 			}
-			over, _ := c.over(h.ID)
-			if over = min(over, h.ExpiresAt+overdue); over > free {
-				free, last, why = over, h.ID, "was not over"
+			answeredAt, _ := c.finalAnswer(h.ID)
+			if answeredAt = min(answeredAt, h.ExpiresAt+answerGrace); answeredAt > freeAt {
+				freeAt, blocker, reason = answeredAt, h.ID, "had no final answer"
 			}
 			for _, p := range c.pushes[h.ID] {
 				end := p.EndedAt
@@ -112,38 +114,39 @@
 				} else if p.state == record.Unanswered {
 					end += c.world.Dispatchers.KeyCooldown
 				}
-				if end > free {
-					free, last, why = end, h.ID, "had a push that was out, or rested,"
+				if end > freeAt {
+					freeAt, blocker, reason = end, h.ID, "had a push in flight or its key in cooldown"
 				}
 			}
 		}
 	}
 }
 
-// waits judges calls that came while a told wait ran.
-func (c *check) waits() {
+// checkToldWaits checks that no call reaches a destination during a told wait.
+func (c *checker) checkToldWaits() {
 	type pair struct{ dispatcher, dest int }
-	running := map[pair]*record.Call{} // the one that ends last
-	told := slices.Clone(c.journal.Calls)
-	told = slices.DeleteFunc(told, func(x *record.Call) bool { return x.ToldWait <= 0 || x.EndedAt == 0 || x.CallerClosed })
-	slices.SortFunc(told, func(a, b *record.Call) int { return cmp.Compare(a.EndedAt, b.EndedAt) })
-	for _, call := range c.journal.Calls { // they stand in the order of their last bytes
-		for len(told) > 0 && told[0].EndedAt <= call.LastByteAt-letPass-slack {
-			p := pair{c.dispatcher(told[0]), told[0].Dest}
-			if r := running[p]; r == nil || r.EndedAt+r.ToldWait < told[0].EndedAt+told[0].ToldWait {
-				running[p] = told[0]
+	active := map[pair]*record.Call{} // the call whose told wait ends last
+	announcing := slices.Clone(c.journal.Calls)
+	announcing = slices.DeleteFunc(announcing, func(call *record.Call) bool { return call.ToldWait <= 0 || call.EndedAt == 0 || call.CallerClosed })
+	slices.SortFunc(announcing, func(a, b *record.Call) int { return cmp.Compare(a.EndedAt, b.EndedAt) })
+	for _, call := range c.journal.Calls { // in the order of their last bytes
+		for len(announcing) > 0 && announcing[0].EndedAt <= call.LastByteAt-inFlightGrace-timingSlack {
+			p := pair{c.dispatcherOf(announcing[0]), announcing[0].Dest}
+			if latest := active[p]; latest == nil || latest.EndedAt+latest.ToldWait < announcing[0].EndedAt+announcing[0].ToldWait {
+				active[p] = announcing[0]
 			}
-			told = told[1:]
+			announcing = announcing[1:]
 		}
-		p := pair{c.dispatcher(call), call.Dest}
-		r := running[p]
-		if r == nil || call.LastByteAt >= r.EndedAt+r.ToldWait-clocks || c.between(p.dispatcher, r.EndedAt-slack, call.LastByteAt, record.Started) {
+		p := pair{c.dispatcherOf(call), call.Dest}
+		source := active[p]
+		if source == nil || call.LastByteAt >= source.EndedAt+source.ToldWait-toldWaitTolerance || c.hasEvent(p.dispatcher, source.EndedAt-timingSlack, call.LastByteAt, record.Started) {
 			continue
 		}
-		c.broken(Violation{Rule: ToldWait, At: call.LastByteAt, Dispatcher: p.dispatcher, ID: call.IDs[0], Endpoint: call.Endpoint, Evidence: fmt.Sprintf(
-			"called at %.3f; at %.3f %s had told it to wait until %.3f", call.LastByteAt, r.EndedAt, r.Endpoint, r.EndedAt+r.ToldWait)})
+		c.report(Violation{Rule: ToldWait, At: call.LastByteAt, Dispatcher: p.dispatcher, ID: call.IDs[0], Endpoint: call.Endpoint, Evidence: fmt.Sprintf(
+			"called at %.3f; at %.3f %s told a wait until %.3f", call.LastByteAt, source.EndedAt, source.Endpoint, source.EndedAt+source.ToldWait)})
 	}
 }
 
-// clocks is what a wait's rounding to milliseconds and the way of its answer may take off its end.
-const clocks = 0.002
+// toldWaitTolerance, in seconds, is how early a told wait may end, because the wait is rounded to milliseconds and its
+// answer takes time to arrive.
+const toldWaitTolerance = 0.002
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -1,5 +1,6 @@
-// Package rules judges a run by the six rules, from what clients, partners, the agent and the starters of processes
-// saw. It asks no dispatcher.
+// Package rules checks a run of the laboratory against the delivery rules. It uses only what clients, partners, the agent
+// and the process supervisor recorded, and takes no data from the dispatchers under test. All times are in seconds since
+// the start of the run.
 package rules
 
 import (
@@ -13,74 +14,90 @@
 	"orchiddrift/lab/scenario"
 )
 
-// The rules.
+// The names of the rules, as reports and the command line spell them.
 const (
-	Lost      = "lost"   // each notification taken on gets one final answer in time, and nothing is sent after it
-	Duplicate = "twice"  // no effect happens twice, and no push goes out that could make it so
-	Draining  = "drains" // nothing new goes to an endpoint that drains or is gone, or to one of another destination
-	Overload  = "pushed" // a destination that returns is not pushed over
-	Order     = "order"  // notifications of a key go one at a time, in the order taken
-	ToldWait  = "waits"  // nothing goes to a destination that told a wait
-	Crash     = "crash"  // no dispatcher ends unasked or takes more than its limits
+	// Lost: each accepted notification gets one final answer in time, and is not pushed after it.
+	Lost = "lost"
+	// Duplicate: no notification takes effect twice, and no push is sent that could cause it.
+	Duplicate = "twice"
+	// Draining: no new call goes to an endpoint that is draining or gone, or that belongs to another destination.
+	Draining = "drains"
+	// Overload: a destination that recovers from an outage is not overloaded.
+	Overload = "pushed"
+	// Order: the notifications of a key are pushed one at a time, in the order in which they were accepted.
+	Order = "order"
+	// ToldWait: no call goes to a destination during a told wait.
+	ToldWait = "waits"
+	// Crash: no dispatcher exits without being asked to or exceeds its resource limits.
+	Crash = "crash"
 )
 
-// All lists the rules.
+// All lists the names of all rules in the order of the reports.
 var All = []string{Lost, Duplicate, Draining, Overload, Order, ToldWait, Crash}
 
-// What sockets and clocks may blur, in seconds.
+// The tolerances of the rules.
 const (
-	slack     = 0.05 // every time limit is so much longer
-	overdue   = 0.3  // after its time is up a notification is lost
-	backIn    = 1.5  // and not before so long after its dispatcher is ready again
-	letPass   = 0.1  // calls that come so soon after a wait was told are let through
-	toldIn    = 6.0  // what the list has to tell counts as told after so long
-	seenShare = 2.0 / 3
+	// timingSlack, in seconds, extends every time limit, for delays in sockets and differences between clock readings.
+	timingSlack = 0.05
+	// answerGrace, in seconds after the TTL, is how late a final answer may come before the notification counts as lost.
+	answerGrace = 0.3
+	// restartGrace, in seconds after a dispatcher is ready again, is how late it may give answers that fell due meanwhile.
+	restartGrace = 1.5
+	// inFlightGrace, in seconds, is the time for a call to reach its endpoint: calls that arrive this soon after a told wait
+	// are allowed, and a hand-in counts as tried in an outage only if it was accepted this long before the outage's end.
+	inFlightGrace = 0.1
+	// maxListDelay, in seconds, is after which a change of the endpoint list counts as received.
+	maxListDelay = 6.0
+	// minAwareShare is the share of the calls in an overload that must come from dispatchers that saw the outage.
+	minAwareShare = 2.0 / 3
 )
 
-// Violation is a broken rule with its evidence.
+// Violation is one breach of a rule, with its evidence.
 type Violation struct {
 	Rule       string  `json:"rule"`
-	At         float64 `json:"at"`
-	Dispatcher int     `json:"dispatcher"`
+	At         float64 `json:"at"`         // seconds since the start of the run
+	Dispatcher int     `json:"dispatcher"` // index of the dispatcher, -1 if unknown
 	ID         string  `json:"id,omitempty"`
 	Endpoint   string  `json:"endpoint,omitempty"`
 	Evidence   string  `json:"evidence"`
 }
 
+// String returns the violation as one line of a report.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3f s: dispatcher %d %s %s: %s", v.Rule, v.At, v.Dispatcher, v.ID, v.Endpoint, v.Evidence)
 }
 
-// push is one notification's part in a call.
+// push is one attempt to deliver a notification: its part of a call.
 type push struct {
 	*record.Call
 	state record.PushState
 	ran   bool
 }
 
-// over tells whether the answer delivered the notification.
+// delivered reports whether the dispatcher got an answer that confirms the delivery.
 func (p push) delivered() bool {
 	return p.state == record.Delivered && p.EndedAt > 0 && !p.CallerClosed
 }
 
-// mayHaveRun tells whether its dispatcher has to take it so.
+// mayHaveRun reports whether the dispatcher has to assume that the push took effect.
 func (p push) mayHaveRun() bool { return p.state != record.Throttled }
 
-// check is a run being judged.
-type check struct {
-	world   *scenario.World
-	journal *record.Journal
-	end     float64 // of the run
-	topics  map[string]scenario.Topic
-	handIns map[string]*record.HandIn
-	pushes  map[string][]push // by notification, as their last bytes came
-	notices map[string]record.Notice
-	found   []Violation
+// checker checks one run.
+type checker struct {
+	world      *scenario.World
+	journal    *record.Journal
+	end        float64 // of the run
+	topics     map[string]scenario.Topic
+	handIns    map[string]*record.HandIn
+	pushes     map[string][]push // by notification, in the order of their last bytes
+	notices    map[string]record.Notice
+	violations []Violation
 }
 
-// Check judges a run that ended at a moment. Violations come rule by rule, then in time.
+// Check returns the violations in a run that ended at the given time, ordered by rule, then by time. It sorts the calls of
+// the journal by their last byte.
 func Check(w *scenario.World, j *record.Journal, end float64) []Violation {
-	c := &check{world: w, journal: j, end: end, topics: map[string]scenario.Topic{}, handIns: map[string]*record.HandIn{},
+	c := &checker{world: w, journal: j, end: end, topics: map[string]scenario.Topic{}, handIns: map[string]*record.HandIn{},
 		pushes: map[string][]push{}, notices: map[string]record.Notice{}}
 	for _, t := range w.Topics {
 		c.topics[t.Name] = t
@@ -99,87 +116,88 @@
 		}
 	}
 	for _, n := range j.Notices {
-		if _, again := c.notices[n.ID]; !again {
+		if _, seen := c.notices[n.ID]; !seen {
 			c.notices[n.ID] = n
 		}
 	}
-	c.lost()
-	c.twice()
-	c.drains()
-	c.pushed()
-	c.order()
-	c.waits()
-	for _, l := range j.ProcessEvents {
-		if l.Kind == record.Crashed || l.Kind == record.LimitExceeded {
-			c.broken(Violation{Rule: Crash, At: l.At, Dispatcher: l.Dispatcher, Evidence: l.Detail})
+	c.checkLost()
+	c.checkDuplicates()
+	c.checkDraining()
+	c.checkOverload()
+	c.checkOrder()
+	c.checkToldWaits()
+	for _, event := range j.ProcessEvents {
+		if event.Kind == record.Crashed || event.Kind == record.LimitExceeded {
+			c.report(Violation{Rule: Crash, At: event.At, Dispatcher: event.Dispatcher, Evidence: event.Detail})
 		}
 	}
-	slices.SortStableFunc(c.found, func(a, b Violation) int {
+	slices.SortStableFunc(c.violations, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(slices.Index(All, a.Rule), slices.Index(All, b.Rule)), cmp.Compare(a.At, b.At),
 			strings.Compare(a.ID, b.ID))
 	})
-	return c.found
+	return c.violations
 }
 
-func (c *check) broken(v Violation) { c.found = append(c.found, v) }
+func (c *checker) report(v Violation) { c.violations = append(c.violations, v) }
 
-// delivered is the final answer that no notice tells.
-const delivered = "delivered"
+// outcomeDelivered stands for a final answer that came from an endpoint instead of a notice.
+const outcomeDelivered = "delivered"
 
-// stalled tells whether a dispatcher stood still at a moment, or was about to: an answer written then was not read in
-// its time. What may be repeated may then be pushed again; once-only is judged by rule twice all the same.
-func (c *check) stalled(dispatcher int, at float64) bool {
-	from := math.Inf(1)
-	for _, l := range c.journal.ProcessEvents {
+// stalledAt reports whether a dispatcher's process was stopped at the given time, or was within timingSlack of a stop: it
+// then did not read an answer in time, and may push a repeatable notification again. Repeats of once-only notifications
+// are still reported by checkDuplicates.
+func (c *checker) stalledAt(dispatcher int, at float64) bool {
+	stalledFrom := math.Inf(1)
+	for _, event := range c.journal.ProcessEvents {
 		switch {
-		case l.Dispatcher != dispatcher:
-		case l.Kind == record.Stalled:
-			from = l.At - slack
-		case l.Kind == record.Resumed:
-			if at >= from && at <= l.At+slack {
+		case event.Dispatcher != dispatcher:
+		case event.Kind == record.Stalled:
+			stalledFrom = event.At - timingSlack
+		case event.Kind == record.Resumed:
+			if at >= stalledFrom && at <= event.At+timingSlack {
 				return true
 			}
-			from = math.Inf(1)
+			stalledFrom = math.Inf(1)
 		}
 	}
-	return at >= from
+	return at >= stalledFrom
 }
 
-// over is when a notification had its final answer, and by what; infinite where it had none.
-func (c *check) over(id string) (float64, string) {
-	at, by := math.Inf(1), ""
+// finalAnswer returns the time and the outcome of a notification's final answer, or an infinite time if there is none.
+func (c *checker) finalAnswer(id string) (float64, string) {
+	at, outcome := math.Inf(1), ""
 	for _, p := range c.pushes[id] {
 		if p.delivered() && p.EndedAt < at {
-			at, by = p.EndedAt, delivered
+			at, outcome = p.EndedAt, outcomeDelivered
 		}
 	}
 	if n, ok := c.notices[id]; ok && n.At < at {
-		at, by = n.At, n.Outcome
+		at, outcome = n.At, n.Outcome
 	}
-	return at, by
+	return at, outcome
 }
 
-// due is when a notification's final answer is overdue: later where its dispatcher was told to end or killed, or stood still
-// then, and never where that did not come back.
-func (c *check) due(h *record.HandIn) float64 {
-	due, down, stalled := h.ExpiresAt+overdue+slack, false, false
-	for _, l := range c.journal.ProcessEvents {
-		if l.Dispatcher != h.Dispatcher || l.At > due && !down && !stalled {
+// answerDeadline returns the time after which a notification's final answer is overdue. It is later if the dispatcher was
+// terminated, killed or stopped before that, and infinite if the dispatcher did not come back.
+func (c *checker) answerDeadline(h *record.HandIn) float64 {
+	due, down, stalled := h.ExpiresAt+answerGrace+timingSlack, false, false
+	for _, event := range c.journal.ProcessEvents {
+		if event.Dispatcher != h.Dispatcher || event.At > due && !down && !stalled {
 			continue
 		}
-		switch l.Kind {
+		switch event.Kind {
 		case record.Stalled:
 			stalled = true
-		case record.Resumed: // a process that stands still ends nothing
-			if stalled && l.At > h.ExpiresAt {
-				due = max(due, l.At+overdue+slack)
+		case record.Resumed: // a stopped process can answer nothing until it resumes
+			if stalled && event.At > h.ExpiresAt {
+				due = max(due, event.At+answerGrace+timingSlack)
 			}
 			stalled = false
 		case record.TerminateSent, record.Killed:
 			down = true
 		case record.Ready:
 			if down {
-				due, down = max(due, l.At+backIn+slack), false
+				due, down = max(due, event.At+restartGrace+timingSlack), false
 			}
 		}
 	}
@@ -189,100 +207,101 @@
 	return due
 }
 
-// between tells whether something of a kind happened to a dispatcher's process between two moments.
-func (c *check) between(dispatcher int, from, to float64, what ...string) bool {
-	return slices.ContainsFunc(c.journal.ProcessEvents, func(l record.ProcessEvent) bool {
-		return l.Dispatcher == dispatcher && l.At >= from && l.At <= to && slices.Contains(what, l.Kind)
+// hasEvent reports whether the journal has an event of one of the kinds for a dispatcher between two times.
+func (c *checker) hasEvent(dispatcher int, from, to float64, kinds ...string) bool {
+	return slices.ContainsFunc(c.journal.ProcessEvents, func(event record.ProcessEvent) bool {
+		return event.Dispatcher == dispatcher && event.At >= from && event.At <= to && slices.Contains(kinds, event.Kind)
 	})
 }
 
-// lost judges that each notification taken on has one final answer in time and nothing is sent after it.
-func (c *check) lost() {
+// checkLost checks that each accepted notification has a final answer in time and is not pushed after it.
+func (c *checker) checkLost() {
 	for _, h := range c.journal.HandIns {
-		over, by := c.over(h.ID)
-		if due := c.due(h); h.Accepted() && over > due && due <= c.end {
-			text := "it had none at all"
-			if !math.IsInf(over, 1) {
-				text = fmt.Sprintf("it was %s at %.3f", by, over)
+		answeredAt, outcome := c.finalAnswer(h.ID)
+		if deadline := c.answerDeadline(h); h.Accepted() && answeredAt > deadline && deadline <= c.end {
+			text := "no final answer"
+			if !math.IsInf(answeredAt, 1) {
+				text = fmt.Sprintf("%s at %.3f", outcome, answeredAt)
 			}
-			c.broken(Violation{Rule: Lost, At: due, Dispatcher: h.Dispatcher, ID: h.ID, Evidence: fmt.Sprintf(
-				"taken on at %.3f, its TTL ended at %.3f, its answer was overdue at %.3f; %s", h.AnsweredAt, h.ExpiresAt, due, text)})
+			c.report(Violation{Rule: Lost, At: deadline, Dispatcher: h.Dispatcher, ID: h.ID, Evidence: fmt.Sprintf(
+				"accepted at %.3f, TTL expired at %.3f, final answer due by %.3f; %s", h.AnsweredAt, h.ExpiresAt, deadline, text)})
 		}
 		for _, p := range c.pushes[h.ID] {
-			if p.FirstByteAt > over+slack && !c.between(h.Dispatcher, over-slack, p.FirstByteAt, record.Started) &&
-				!(by == delivered && c.stalled(h.Dispatcher, over)) {
-				c.broken(Violation{Rule: Lost, At: p.FirstByteAt, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: p.Endpoint,
-					Evidence: fmt.Sprintf("pushed at %.3f although %s at %.3f", p.FirstByteAt, by, over)})
+			if p.FirstByteAt > answeredAt+timingSlack && !c.hasEvent(h.Dispatcher, answeredAt-timingSlack, p.FirstByteAt, record.Started) &&
+				!(outcome == outcomeDelivered && c.stalledAt(h.Dispatcher, answeredAt)) {
+				c.report(Violation{Rule: Lost, At: p.FirstByteAt, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: p.Endpoint,
+					Evidence: fmt.Sprintf("pushed at %.3f, after it was %s at %.3f", p.FirstByteAt, outcome, answeredAt)})
 			}
 		}
 	}
 }
 
-// twice judges what was pushed again.
-func (c *check) twice() {
-	runs := map[int][]push{} // once-only, by notification of the plan
+// checkDuplicates checks the repeated pushes of each notification against the repeat rules of its topic.
+func (c *checker) checkDuplicates() {
+	executions := map[int][]push{} // pushes of once-only notifications that took effect, by index in the plan
 	for _, h := range c.journal.HandIns {
-		topic, list := c.topics[h.Topic], c.pushes[h.ID]
-		bad := func(p push, format string, args ...any) {
-			c.broken(Violation{Rule: Duplicate, At: p.LastByteAt, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: p.Endpoint,
+		topic, pushes := c.topics[h.Topic], c.pushes[h.ID]
+		reportPush := func(p push, format string, args ...any) {
+			c.report(Violation{Rule: Duplicate, At: p.LastByteAt, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: p.Endpoint,
 				Evidence: fmt.Sprintf("%s, pushed at %.3f: ", topic.Repeat, p.LastByteAt) + fmt.Sprintf(format, args...)})
 		}
-		if h.Refused() && len(list) > 0 {
-			bad(list[0], "its client was told at %.3f that it was refused", h.AnsweredAt)
+		if h.Refused() && len(pushes) > 0 {
+			reportPush(pushes[0], "its client got a refusal at %.3f", h.AnsweredAt)
 		}
-		if len(list) > c.world.Dispatchers.MaxPushes {
-			bad(list[len(list)-1], "it is push %d of %d at most", len(list), c.world.Dispatchers.MaxPushes)
+		if len(pushes) > c.world.Dispatchers.MaxPushes {
+			reportPush(pushes[len(pushes)-1], "push %d exceeds the limit of %d", len(pushes), c.world.Dispatchers.MaxPushes)
 		}
-		known := math.Inf(1) // until when a collapsible one's mark is known
-		for i, p := range list {
-			if topic.Repeat == scenario.Collapsible && p.LastByteAt > known {
-				bad(p, "its mark was known until %.3f", known)
+		dedupUntil := math.Inf(1) // end of the window in which endpoints recognize a repeat of a collapsible notification
+		for i, current := range pushes {
+			if topic.Repeat == scenario.Collapsible && current.LastByteAt > dedupUntil {
+				reportPush(current, "its deduplication window ended at %.3f", dedupUntil)
 			}
-			for _, before := range list[:i] {
+			for _, earlier := range pushes[:i] {
 				switch {
-				case readLate(p, before):
-				case before.EndedAt == 0 || before.EndedAt > p.LastByteAt+slack:
-					bad(p, "its push of %.3f at %s was still out", before.LastByteAt, before.Endpoint)
-				case topic.DedupScope == scenario.DedupScopeZone && topic.Repeat == scenario.Collapsible && before.mayHaveRun() && c.zone(before) != c.zone(p):
-					bad(p, "zone %q; its push of %.3f at %s in zone %q may have run (%s)", c.zone(p), before.LastByteAt, before.Endpoint,
-						c.zone(before), ending(before))
-				case topic.Repeat == scenario.OnceOnly && before.mayHaveRun():
-					bad(p, "its push of %.3f at %s may have run (%s)", before.LastByteAt, before.Endpoint, ending(before))
+				case closedBeforeRead(current, earlier):
+				case earlier.EndedAt == 0 || earlier.EndedAt > current.LastByteAt+timingSlack:
+					reportPush(current, "its push of %.3f to %s was still in flight", earlier.LastByteAt, earlier.Endpoint)
+				case topic.DedupScope == scenario.DedupScopeZone && topic.Repeat == scenario.Collapsible && earlier.mayHaveRun() && c.zoneOf(earlier) != c.zoneOf(current):
+					reportPush(current, "sent to zone %q, but its push of %.3f to %s in zone %q may have run (%s)", c.zoneOf(current), earlier.LastByteAt, earlier.Endpoint,
+						c.zoneOf(earlier), describeEnd(earlier))
+				case topic.Repeat == scenario.OnceOnly && earlier.mayHaveRun():
+					reportPush(current, "its push of %.3f to %s may have run (%s)", earlier.LastByteAt, earlier.Endpoint, describeEnd(earlier))
 				}
 			}
-			if p.mayHaveRun() {
-				known = min(known, p.FirstByteAt+topic.DedupWindow+slack)
+			if current.mayHaveRun() {
+				dedupUntil = min(dedupUntil, current.FirstByteAt+topic.DedupWindow+timingSlack)
 			}
-			if p.ran && topic.Repeat == scenario.OnceOnly {
-				runs[h.PlanIndex] = append(runs[h.PlanIndex], p)
+			if current.ran && topic.Repeat == scenario.OnceOnly {
+				executions[h.PlanIndex] = append(executions[h.PlanIndex], current)
 			}
 		}
 		if n := c.notices[h.ID]; n.Outcome == record.HandedBack && topic.Repeat == scenario.OnceOnly {
-			if i := slices.IndexFunc(list, push.mayHaveRun); i >= 0 {
-				c.broken(Violation{Rule: Duplicate, At: n.At, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: list[i].Endpoint, Evidence: fmt.Sprintf(
-					"handed back at %.3f although its push of %.3f may have run (%s)", n.At, list[i].LastByteAt, ending(list[i]))})
+			if i := slices.IndexFunc(pushes, push.mayHaveRun); i >= 0 {
+				c.report(Violation{Rule: Duplicate, At: n.At, Dispatcher: h.Dispatcher, ID: h.ID, Endpoint: pushes[i].Endpoint, Evidence: fmt.Sprintf(
+					"handed back at %.3f, but its push of %.3f may have run (%s)", n.At, pushes[i].LastByteAt, describeEnd(pushes[i]))})
 			}
 		}
 	}
-	for _, list := range runs {
-		if len(list) > 1 {
-			p := list[len(list)-1]
-			c.broken(Violation{Rule: Duplicate, At: p.LastByteAt, Dispatcher: c.dispatcher(p.Call), ID: p.IDs[0], Endpoint: p.Endpoint,
-				Evidence: fmt.Sprintf("once-only, it ran %d times: at %.3f and at %.3f", len(list), list[0].LastByteAt, p.LastByteAt)})
+	for _, pushes := range executions {
+		if len(pushes) > 1 {
+			p := pushes[len(pushes)-1]
+			c.report(Violation{Rule: Duplicate, At: p.LastByteAt, Dispatcher: c.dispatcherOf(p.Call), ID: p.IDs[0], Endpoint: p.Endpoint,
+				Evidence: fmt.Sprintf("once-only, took effect %d times: first at %.3f, last at %.3f", len(pushes), pushes[0].LastByteAt, p.LastByteAt)})
 		}
 	}
 }
 
-// readLate tells that a push was left by its caller before another was made, and only read after it: the bytes had waited
-// in its endpoint's socket. Its connection was at its end as it was read, and the other came within the time that sockets blur.
-// Two pushes that are out together are not passed over by it: there the one read second stays out.
-func readLate(p, other push) bool {
-	const atOnce = 0.001
-	return p.CallerClosed && p.EndedAt > 0 && p.EndedAt-p.LastByteAt <= atOnce && other.FirstByteAt >= p.EndedAt-slack && other.FirstByteAt <= p.LastByteAt
+// closedBeforeRead reports whether the caller had closed the connection of the push late before it sent the push other, and
+// the endpoint read late only afterwards, because its bytes had waited in the socket's receive buffer. That is so if the
+// connection was at its end as late was read, and other began within timingSlack of that. Two pushes that are in flight at
+// the same time do not pass: there the connection of the one that is read second stays open.
+func closedBeforeRead(late, other push) bool {
+	const maxReadToClose = 0.001 // seconds between the last byte and the end of the connection
+	return late.CallerClosed && late.EndedAt > 0 && late.EndedAt-late.LastByteAt <= maxReadToClose && other.FirstByteAt >= late.EndedAt-timingSlack && other.FirstByteAt <= late.LastByteAt
 }
 
-// zone is that of the endpoint of a push.
-func (c *check) zone(p push) string {
+// zoneOf returns the zone of the endpoint that got a push, or "" if the endpoint is unknown.
+func (c *checker) zoneOf(p push) string {
 	for _, e := range c.world.Partners[p.Dest].Endpoints {
 		if e.ID == p.Endpoint {
 			return e.Zone
@@ -291,23 +310,23 @@
 	return ""
 }
 
-// ending says how a push ended.
-func ending(p push) string {
+// describeEnd describes how a push ended, for the evidence of a violation.
+func describeEnd(p push) string {
 	switch {
 	case p.state == record.Failed:
 		return "answered as failed"
 	case p.state == record.Unreadable:
-		return "a spoilt answer"
+		return "unreadable answer"
 	case p.CallerClosed:
-		return "its caller left"
+		return "caller closed the connection"
 	case p.state == record.Delivered:
 		return "delivered"
 	}
 	return "no answer"
 }
 
-// dispatcher is the one that a call came from, -1 where no client handed its notification in.
-func (c *check) dispatcher(call *record.Call) int {
+// dispatcherOf returns the dispatcher that sent a call, or -1 if no client handed in any of its notifications.
+func (c *checker) dispatcherOf(call *record.Call) int {
 	for _, id := range call.IDs {
 		if h := c.handIns[id]; h != nil {
 			return h.Dispatcher
@@ -316,9 +335,9 @@
 	return -1
 }
 
-// drains judges where calls went.
-func (c *check) drains() {
-	grace := c.world.Dispatchers.DrainGrace + slack
+// checkDraining checks that calls go to endpoints of the right destination that are not draining or gone.
+func (c *checker) checkDraining() {
+	grace := c.world.Dispatchers.DrainGrace + timingSlack
 	endpoints := map[string]scenario.Endpoint{}
 	for _, p := range c.world.Partners {
 		for _, e := range p.Endpoints {
@@ -326,47 +345,48 @@
 		}
 	}
 	for _, call := range c.journal.Calls {
-		d := c.dispatcher(call)
+		dispatcher := c.dispatcherOf(call)
 		for _, id := range call.IDs {
 			if h := c.handIns[id]; h == nil || h.Dest != call.Dest {
-				c.broken(Violation{Rule: Draining, At: call.FirstByteAt, Dispatcher: d, ID: id, Endpoint: call.Endpoint,
-					Evidence: "it is of another destination, or no client handed it in"})
+				c.report(Violation{Rule: Draining, At: call.FirstByteAt, Dispatcher: dispatcher, ID: id, Endpoint: call.Endpoint,
+					Evidence: "endpoint of another destination, or a notification that no client handed in"})
 			}
 		}
-		e, ok := endpoints[call.Endpoint]
-		if !ok || e.DrainsAt == 0 || d < 0 {
+		endpoint, ok := endpoints[call.Endpoint]
+		if !ok || endpoint.DrainsAt == 0 || dispatcher < 0 {
 			continue
 		}
-		if told := c.told(d, e, call.FirstByteAt); call.FirstByteAt > told+grace {
-			c.broken(Violation{Rule: Draining, At: call.FirstByteAt, Dispatcher: d, ID: call.IDs[0], Endpoint: call.Endpoint,
-				Evidence: fmt.Sprintf("called at %.3f; that it drains was told at %.3f, with %.3f s of grace", call.FirstByteAt, told, grace)})
+		if listedAt := c.drainListedAt(dispatcher, endpoint, call.FirstByteAt); call.FirstByteAt > listedAt+grace {
+			c.report(Violation{Rule: Draining, At: call.FirstByteAt, Dispatcher: dispatcher, ID: call.IDs[0], Endpoint: call.Endpoint,
+				Evidence: fmt.Sprintf("called at %.3f; listed as draining at %.3f, with a grace period of %.3f s", call.FirstByteAt, listedAt, grace)})
 		}
 	}
 }
 
-// told is when a dispatcher's present process was told, or counts as told, that an endpoint drains.
-func (c *check) told(d int, e scenario.Endpoint, now float64) float64 {
-	started := -1.0
-	for _, l := range c.journal.ProcessEvents {
-		if l.Dispatcher == d && l.Kind == record.Started && l.At <= now {
-			started = l.At
+// drainListedAt returns the time at which the dispatcher's process that runs at now received a list in which the endpoint
+// is draining or gone, or counts as having received it.
+func (c *checker) drainListedAt(dispatcher int, endpoint scenario.Endpoint, now float64) float64 {
+	startedAt := -1.0
+	for _, event := range c.journal.ProcessEvents {
+		if event.Dispatcher == dispatcher && event.Kind == record.Started && event.At <= now {
+			startedAt = event.At
 		}
 	}
-	at := max(e.DrainsAt+c.world.ListDelay(e), started) + toldIn
-	for _, t := range c.world.Troubles {
-		if t.Kind == scenario.ListDown && t.AppliesToDispatcher(d) && t.At < at && t.End() > e.DrainsAt {
-			at = math.Inf(1) // it could not learn by itself
+	listedAt := max(endpoint.DrainsAt+c.world.ListDelay(endpoint), startedAt) + maxListDelay
+	for _, trouble := range c.world.Troubles {
+		if trouble.Kind == scenario.ListDown && trouble.AppliesToDispatcher(dispatcher) && trouble.At < listedAt && trouble.End() > endpoint.DrainsAt {
+			listedAt = math.Inf(1) // the list could not reach it
 		}
 	}
-	for _, t := range c.journal.ListUpdates {
-		if t.Dispatcher != d || t.At < started || t.At >= at {
+	for _, update := range c.journal.ListUpdates {
+		if update.Dispatcher != dispatcher || update.At < startedAt || update.At >= listedAt {
 			continue
 		}
-		i := slices.IndexFunc(t.Entries, func(x record.ListEntry) bool { return x.ID == e.ID })
-		lacked := i < 0 && t.Full && t.At >= e.AddedAt+c.world.ListDelay(e) // before that no list could name it
-		if i >= 0 && t.Entries[i].State != "ready" || lacked {
-			at = t.At
+		i := slices.IndexFunc(update.Entries, func(entry record.ListEntry) bool { return entry.ID == endpoint.ID })
+		missing := i < 0 && update.Full && update.At >= endpoint.AddedAt+c.world.ListDelay(endpoint) // no list can name it before that
+		if i >= 0 && update.Entries[i].State != "ready" || missing {
+			listedAt = update.At
 		}
 	}
-	return at
+	return listedAt
 }
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -8,9 +8,9 @@
 	"orchiddrift/lab/scenario"
 )
 
-// world has one destination, 0, that takes 4 calls a second, hangs from 1 to 2 and drains its endpoint e0-0 from 20 on,
-// and one that is left alone.
-func world() *scenario.World {
+// newWorld returns a world with two destinations. Destination 0 takes 4 calls a second, hangs from 1 s to 2 s and drains its
+// endpoint e0-0 from 20 s on; destination 1 has no faults.
+func newWorld() *scenario.World {
 	return scenario.NewWorld(&scenario.Scenario{Seed: 1, Length: 30, Kinds: []scenario.Kind{{Name: "k"}}, Load: scenario.Load{Rate: 1},
 		Dispatchers: scenario.Dispatchers{Count: 1, MaxPushes: 3, DrainGrace: 0.5, KeyCooldown: 0.4, MemoryMB: 1, DiskMB: 1},
 		Recovery:    scenario.Recovery{InitialCapacity: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5},
@@ -21,245 +21,248 @@
 			{Kind: scenario.Drain, At: 20, Wait: 5, Destinations: []int{0}}}})
 }
 
-// trace builds a journal.
-type trace struct{ record.Journal }
+// journalBuilder builds a journal by chained calls.
+type journalBuilder struct{ record.Journal }
 
-// take notes a hand-in, answered at once and good for 6 s.
-func (t *trace) take(id, topic, key string, at float64) *trace {
-	t.AddHandIn(&record.HandIn{ID: id, PlanIndex: len(t.HandIns), Topic: topic, Key: key, Dest: 1, PlannedAt: at, SentAt: at, ExpiresAt: at + 6,
+// accept adds a hand-in that is accepted at once and has a TTL of 6 s.
+func (b *journalBuilder) accept(id, topic, key string, at float64) *journalBuilder {
+	b.AddHandIn(&record.HandIn{ID: id, PlanIndex: len(b.HandIns), Topic: topic, Key: key, Dest: 1, PlannedAt: at, SentAt: at, ExpiresAt: at + 6,
 		AnsweredAt: at, Status: 202})
-	return t
+	return b
 }
 
-// push notes a call of one notification that ends in a state.
-func (t *trace) push(id string, from, to float64, state record.PushState, wait float64) *trace {
+// push adds a call with one notification that ends in the given state.
+func (b *journalBuilder) push(id string, from, to float64, state record.PushState, wait float64) *journalBuilder {
 	status := map[record.PushState]int{record.Delivered: 200, record.Throttled: 503, record.Failed: 500}[state]
-	t.AddCall(&record.Call{Endpoint: "e1-0", Dest: 1, IDs: []string{id}, FirstByteAt: from, LastByteAt: from, EndedAt: to, Status: status, ToldWait: wait,
+	b.AddCall(&record.Call{Endpoint: "e1-0", Dest: 1, IDs: []string{id}, FirstByteAt: from, LastByteAt: from, EndedAt: to, Status: status, ToldWait: wait,
 		States: []record.PushState{state}, Ran: []bool{state != record.Throttled}, CallerClosed: state == record.Unanswered})
-	return t
+	return b
 }
 
-func (t *trace) notice(id, outcome string, at float64) *trace {
-	t.AddNotice(record.Notice{ID: id, Outcome: outcome, At: at})
-	return t
+func (b *journalBuilder) notice(id, outcome string, at float64) *journalBuilder {
+	b.AddNotice(record.Notice{ID: id, Outcome: outcome, At: at})
+	return b
 }
 
-func (t *trace) life(what string, at float64) *trace {
-	t.AddProcessEvent(record.ProcessEvent{Kind: what, At: at})
-	return t
+func (b *journalBuilder) event(kind string, at float64) *journalBuilder {
+	b.AddProcessEvent(record.ProcessEvent{Kind: kind, At: at})
+	return b
 }
 
-// to moves the last call to another endpoint of destination 0.
-func (t *trace) to(endpoint string) *trace {
-	t.Calls[len(t.Calls)-1].Endpoint, t.Calls[len(t.Calls)-1].Dest = endpoint, 0
-	for _, id := range t.Calls[len(t.Calls)-1].IDs {
-		for _, h := range t.HandIns {
+// redirect moves the last call and its notifications to an endpoint of destination 0.
+func (b *journalBuilder) redirect(endpoint string) *journalBuilder {
+	b.Calls[len(b.Calls)-1].Endpoint, b.Calls[len(b.Calls)-1].Dest = endpoint, 0
+	for _, id := range b.Calls[len(b.Calls)-1].IDs {
+		for _, h := range b.HandIns {
 			if h.ID == id {
 				h.Dest = 0
 			}
 		}
 	}
-	return t
+	return b
 }
 
-func judge(name string, t *trace) {
-	found := rules.Check(world(), &t.Journal, 30)
-	if len(found) == 0 {
+func printViolations(name string, b *journalBuilder) {
+	violations := rules.Check(newWorld(), &b.Journal, 30)
+	if len(violations) == 0 {
 		fmt.Println(name+":", "kept")
 	}
-	for _, v := range found {
+	for _, v := range violations {
 		fmt.Println(name+":", v)
 	}
 }
 
-// Each pair first keeps a rule narrowly, then breaks it.
+// Each pair of journals is first just within a limit of the rule, then just beyond it.
 func Example_lost() {
-	judge("in time", (&trace{}).take("a", "once", "", 1).notice("a", record.GivenUp, 7.34))
-	judge("overdue", (&trace{}).take("a", "once", "", 1).notice("a", record.GivenUp, 7.36))
-	judge("none", (&trace{}).take("a", "again", "", 1).push("a", 1, 2, record.Throttled, 0))
-	judge("restarted", (&trace{}).take("a", "again", "", 1).life(record.Killed, 6).life(record.Started, 7).life(record.Ready, 8).
+	printViolations("answered in time", (&journalBuilder{}).accept("a", "once", "", 1).notice("a", record.GivenUp, 7.34))
+	printViolations("overdue", (&journalBuilder{}).accept("a", "once", "", 1).notice("a", record.GivenUp, 7.36))
+	printViolations("unanswered", (&journalBuilder{}).accept("a", "again", "", 1).push("a", 1, 2, record.Throttled, 0))
+	printViolations("restarted", (&journalBuilder{}).accept("a", "again", "", 1).event(record.Killed, 6).event(record.Started, 7).event(record.Ready, 8).
 		notice("a", record.GivenUp, 9.5))
-	judge("restarted, late", (&trace{}).take("a", "again", "", 1).life(record.Killed, 6).life(record.Started, 7).life(record.Ready, 8).
+	printViolations("restarted, overdue", (&journalBuilder{}).accept("a", "again", "", 1).event(record.Killed, 6).event(record.Started, 7).event(record.Ready, 8).
 		notice("a", record.GivenUp, 9.6))
-	judge("not back", (&trace{}).take("a", "again", "", 1).life(record.Killed, 6))
-	judge("as it ends", (&trace{}).take("a", "again", "", 1).notice("a", record.HandedBack, 2).push("a", 2.04, 2.1, record.Throttled, 0))
-	judge("after its end", (&trace{}).take("a", "again", "", 1).notice("a", record.HandedBack, 2).push("a", 2.06, 2.1, record.Throttled, 0))
-	still := (&trace{}).life(record.Stalled, 1.5).life(record.Resumed, 2.5).take("a", "again", "", 1)
-	judge("stood still", still.push("a", 1, 2, record.Delivered, 0).push("a", 2.6, 2.7, record.Delivered, 0))
-	judge("awake", (&trace{}).take("a", "again", "", 1).push("a", 1, 2, record.Delivered, 0).push("a", 2.6, 2.7, record.Delivered, 0))
+	printViolations("not restarted", (&journalBuilder{}).accept("a", "again", "", 1).event(record.Killed, 6))
+	printViolations("within slack of its end", (&journalBuilder{}).accept("a", "again", "", 1).notice("a", record.HandedBack, 2).push("a", 2.04, 2.1, record.Throttled, 0))
+	printViolations("after its end", (&journalBuilder{}).accept("a", "again", "", 1).notice("a", record.HandedBack, 2).push("a", 2.06, 2.1, record.Throttled, 0))
+	stalled := (&journalBuilder{}).event(record.Stalled, 1.5).event(record.Resumed, 2.5).accept("a", "again", "", 1)
+	printViolations("stalled", stalled.push("a", 1, 2, record.Delivered, 0).push("a", 2.6, 2.7, record.Delivered, 0))
+	printViolations("not stalled", (&journalBuilder{}).accept("a", "again", "", 1).push("a", 1, 2, record.Delivered, 0).push("a", 2.6, 2.7, record.Delivered, 0))
 	// Output:
-	// in time: kept
-	// overdue: lost at 7.350 s: dispatcher 0 a : taken on at 1.000, its TTL ended at 7.000, its answer was overdue at 7.350; it was given_up at 7.360
-	// none: lost at 7.350 s: dispatcher 0 a : taken on at 1.000, its TTL ended at 7.000, its answer was overdue at 7.350; it had none at all
+	// answered in time: kept
+	// overdue: lost at 7.350 s: dispatcher 0 a : accepted at 1.000, TTL expired at 7.000, final answer due by 7.350; given_up at 7.360
+	// unanswered: lost at 7.350 s: dispatcher 0 a : accepted at 1.000, TTL expired at 7.000, final answer due by 7.350; no final answer
 	// restarted: kept
-	// restarted, late: lost at 9.550 s: dispatcher 0 a : taken on at 1.000, its TTL ended at 7.000, its answer was overdue at 9.550; it was given_up at 9.600
-	// not back: kept
-	// as it ends: kept
-	// after its end: lost at 2.060 s: dispatcher 0 a e1-0: pushed at 2.060 although handed_back at 2.000
-	// stood still: kept
-	// awake: lost at 2.600 s: dispatcher 0 a e1-0: pushed at 2.600 although delivered at 2.000
+	// restarted, overdue: lost at 9.550 s: dispatcher 0 a : accepted at 1.000, TTL expired at 7.000, final answer due by 9.550; given_up at 9.600
+	// not restarted: kept
+	// within slack of its end: kept
+	// after its end: lost at 2.060 s: dispatcher 0 a e1-0: pushed at 2.060, after it was handed_back at 2.000
+	// stalled: kept
+	// not stalled: lost at 2.600 s: dispatcher 0 a e1-0: pushed at 2.600, after it was delivered at 2.000
 }
 
-func Example_twice() {
-	judge("turned away", (&trace{}).take("a", "once", "", 1).push("a", 1, 1.1, record.Throttled, 0).push("a", 2, 2.1, record.Delivered, 0))
-	judge("may have run", (&trace{}).take("a", "once", "", 1).push("a", 1, 1.1, record.Failed, 0).push("a", 2, 2.1, record.Throttled, 0).
+func Example_duplicate() {
+	printViolations("throttled", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 1.1, record.Throttled, 0).push("a", 2, 2.1, record.Delivered, 0))
+	printViolations("may have run", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 1.1, record.Failed, 0).push("a", 2, 2.1, record.Throttled, 0).
 		notice("a", record.GivenUp, 3))
-	judge("ran twice", (&trace{}).take("a", "once", "", 1).push("a", 1, 1.1, record.Unreadable, 0).push("a", 2, 2.1, record.Delivered, 0))
-	judge("one by one", (&trace{}).take("a", "again", "", 1).push("a", 1, 2.04, record.Unanswered, 0).push("a", 2, 2.1, record.Delivered, 0))
-	judge("at once", (&trace{}).take("a", "again", "", 1).push("a", 1, 2.06, record.Unanswered, 0).push("a", 2, 2.1, record.Delivered, 0))
-	judge("known", (&trace{}).take("a", "mark", "", 1).push("a", 1, 1.1, record.Failed, 0).push("a", 3.04, 3.1, record.Delivered, 0))
-	judge("forgotten", (&trace{}).take("a", "mark", "", 1).push("a", 1, 1.1, record.Failed, 0).push("a", 3.06, 3.1, record.Delivered, 0))
-	judge("given up", (&trace{}).take("a", "once", "", 1).push("a", 1, 2, record.Unanswered, 0).notice("a", record.GivenUp, 3))
-	judge("handed back", (&trace{}).take("a", "once", "", 1).push("a", 1, 2, record.Unanswered, 0).notice("a", record.HandedBack, 3))
-	judge("pushes", (&trace{}).take("a", "again", "", 1).push("a", 1, 1.1, record.Throttled, 0).push("a", 2, 2.1, record.Throttled, 0).
+	printViolations("ran twice", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 1.1, record.Unreadable, 0).push("a", 2, 2.1, record.Delivered, 0))
+	printViolations("in sequence", (&journalBuilder{}).accept("a", "again", "", 1).push("a", 1, 2.04, record.Unanswered, 0).push("a", 2, 2.1, record.Delivered, 0))
+	printViolations("concurrent", (&journalBuilder{}).accept("a", "again", "", 1).push("a", 1, 2.06, record.Unanswered, 0).push("a", 2, 2.1, record.Delivered, 0))
+	printViolations("within window", (&journalBuilder{}).accept("a", "mark", "", 1).push("a", 1, 1.1, record.Failed, 0).push("a", 3.04, 3.1, record.Delivered, 0))
+	printViolations("outside window", (&journalBuilder{}).accept("a", "mark", "", 1).push("a", 1, 1.1, record.Failed, 0).push("a", 3.06, 3.1, record.Delivered, 0))
+	printViolations("given up", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 2, record.Unanswered, 0).notice("a", record.GivenUp, 3))
+	printViolations("handed back", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 2, record.Unanswered, 0).notice("a", record.HandedBack, 3))
+	printViolations("push limit", (&journalBuilder{}).accept("a", "again", "", 1).push("a", 1, 1.1, record.Throttled, 0).push("a", 2, 2.1, record.Throttled, 0).
 		push("a", 3, 3.1, record.Throttled, 0).push("a", 4, 4.1, record.Delivered, 0))
 	// Output:
-	// turned away: kept
-	// may have run: twice at 2.000 s: dispatcher 0 a e1-0: once-only, pushed at 2.000: its push of 1.000 at e1-0 may have run (answered as failed)
-	// ran twice: twice at 2.000 s: dispatcher 0 a e1-0: once-only, pushed at 2.000: its push of 1.000 at e1-0 may have run (a spoilt answer)
-	// ran twice: twice at 2.000 s: dispatcher 0 a e1-0: once-only, it ran 2 times: at 1.000 and at 2.000
-	// one by one: kept
-	// at once: twice at 2.000 s: dispatcher 0 a e1-0: repeatable, pushed at 2.000: its push of 1.000 at e1-0 was still out
-	// known: kept
-	// forgotten: twice at 3.060 s: dispatcher 0 a e1-0: collapsible, pushed at 3.060: its mark was known until 3.050
+	// throttled: kept
+	// may have run: twice at 2.000 s: dispatcher 0 a e1-0: once-only, pushed at 2.000: its push of 1.000 to e1-0 may have run (answered as failed)
+	// ran twice: twice at 2.000 s: dispatcher 0 a e1-0: once-only, pushed at 2.000: its push of 1.000 to e1-0 may have run (unreadable answer)
+	// ran twice: twice at 2.000 s: dispatcher 0 a e1-0: once-only, took effect 2 times: first at 1.000, last at 2.000
+	// in sequence: kept
+	// concurrent: twice at 2.000 s: dispatcher 0 a e1-0: repeatable, pushed at 2.000: its push of 1.000 to e1-0 was still in flight
+	// within window: kept
+	// outside window: twice at 3.060 s: dispatcher 0 a e1-0: collapsible, pushed at 3.060: its deduplication window ended at 3.050
 	// given up: kept
-	// handed back: twice at 3.000 s: dispatcher 0 a e1-0: handed back at 3.000 although its push of 1.000 may have run (its caller left)
-	// pushes: twice at 4.000 s: dispatcher 0 a e1-0: repeatable, pushed at 4.000: it is push 4 of 3 at most
+	// handed back: twice at 3.000 s: dispatcher 0 a e1-0: handed back at 3.000, but its push of 1.000 may have run (caller closed the connection)
+	// push limit: twice at 4.000 s: dispatcher 0 a e1-0: repeatable, pushed at 4.000: push 4 exceeds the limit of 3
 }
 
-func Example_drains() {
-	told := func(t *trace, state string, at float64) *trace {
-		t.AddListUpdate(record.ListUpdate{At: at, Entries: []record.ListEntry{{ID: "e0-0", State: state}}})
-		return t
+func Example_draining() {
+	listed := func(b *journalBuilder, state string, at float64) *journalBuilder {
+		b.AddListUpdate(record.ListUpdate{At: at, Entries: []record.ListEntry{{ID: "e0-0", State: state}}})
+		return b
 	}
-	judge("in grace", told((&trace{}).take("a", "again", "", 20).push("a", 21.54, 21.6, record.Delivered, 0).to("e0-0"), "draining", 21))
-	judge("too late", told((&trace{}).take("a", "again", "", 20).push("a", 21.56, 21.6, record.Delivered, 0).to("e0-0"), "draining", 21))
-	judge("never asked", (&trace{}).take("a", "again", "", 25).push("a", 26.56, 26.6, record.Delivered, 0).to("e0-0"))
-	judge("started since", told((&trace{}).life(record.Started, 21.2).take("a", "again", "", 20).push("a", 21.56, 21.6, record.Delivered, 0).to("e0-0"),
+	printViolations("within grace period", listed((&journalBuilder{}).accept("a", "again", "", 20).push("a", 21.54, 21.6, record.Delivered, 0).redirect("e0-0"), "draining", 21))
+	printViolations("after grace period", listed((&journalBuilder{}).accept("a", "again", "", 20).push("a", 21.56, 21.6, record.Delivered, 0).redirect("e0-0"), "draining", 21))
+	printViolations("no list received", (&journalBuilder{}).accept("a", "again", "", 25).push("a", 26.56, 26.6, record.Delivered, 0).redirect("e0-0"))
+	printViolations("started since", listed((&journalBuilder{}).event(record.Started, 21.2).accept("a", "again", "", 20).push("a", 21.56, 21.6, record.Delivered, 0).redirect("e0-0"),
 		"draining", 21))
-	judge("a stranger", (&trace{}).take("a", "again", "", 5).push("b", 5, 5.1, record.Delivered, 0).push("a", 5.1, 5.2, record.Delivered, 0))
+	printViolations("unknown notification", (&journalBuilder{}).accept("a", "again", "", 5).push("b", 5, 5.1, record.Delivered, 0).push("a", 5.1, 5.2, record.Delivered, 0))
 	// Output:
-	// in grace: kept
-	// too late: drains at 21.560 s: dispatcher 0 a e0-0: called at 21.560; that it drains was told at 21.000, with 0.550 s of grace
-	// never asked: drains at 26.560 s: dispatcher 0 a e0-0: called at 26.560; that it drains was told at 26.000, with 0.550 s of grace
+	// within grace period: kept
+	// after grace period: drains at 21.560 s: dispatcher 0 a e0-0: called at 21.560; listed as draining at 21.000, with a grace period of 0.550 s
+	// no list received: drains at 26.560 s: dispatcher 0 a e0-0: called at 26.560; listed as draining at 26.000, with a grace period of 0.550 s
 	// started since: kept
-	// a stranger: drains at 5.000 s: dispatcher -1 b e1-0: it is of another destination, or no client handed it in
+	// unknown notification: drains at 5.000 s: dispatcher -1 b e1-0: endpoint of another destination, or a notification that no client handed in
 }
 
-// Back at 2 with 1 call a second; more than twice that in each third of 1.5 s pushes it over, where the dispatcher had seen
-// the outage.
-func Example_pushed() {
-	calls := func(seen bool, gap float64) *trace {
-		t := &trace{}
-		t.take("a", "again", "", 1)
-		if seen {
-			t.push("a", 1.5, 1.9, record.Unanswered, 0).to("e0-0")
+// The destination recovers at 2 s with a capacity of 1 call a second. More than twice its capacity in each third of 1.5 s
+// overloads it, which breaks the rule if the dispatcher had seen the outage.
+func Example_overload() {
+	calls := func(sawOutage bool, gap float64) *journalBuilder {
+		b := &journalBuilder{}
+		b.accept("a", "again", "", 1)
+		if sawOutage {
+			b.push("a", 1.5, 1.9, record.Unanswered, 0).redirect("e0-0")
 		}
 		for i := range 30 {
 			id := fmt.Sprint("c", i)
 			at := 2.1 + float64(i)*gap
-			t.take(id, "again", "", at).push(id, at, at+0.05, record.Delivered, 0).to("e0-0")
+			b.accept(id, "again", "", at).push(id, at, at+0.05, record.Delivered, 0).redirect("e0-0")
 		}
-		return t.notice("a", record.GivenUp, 2)
+		return b.notice("a", record.GivenUp, 2)
 	}
-	judge("gently", calls(true, 0.26))
-	judge("not seen", calls(false, 0.1))
-	judge("started since", calls(true, 0.1).life(record.Started, 2))
-	judge("pushed over", calls(true, 0.1))
+	printViolations("below overload", calls(true, 0.26))
+	printViolations("outage not seen", calls(false, 0.1))
+	printViolations("started since", calls(true, 0.1).event(record.Started, 2))
+	printViolations("overloaded", calls(true, 0.1))
 	// Output:
-	// gently: kept
-	// not seen: kept
+	// below overload: kept
+	// outage not seen: kept
 	// started since: kept
-	// pushed over: pushed at 3.400 s: dispatcher 0 c13 e0-0: back since 2.000, it can take 2.05 calls/s and got 14 in 1.5 s, 14 of them from dispatchers that had seen the outage
+	// overloaded: pushed at 3.400 s: dispatcher 0 c13 e0-0: recovered at 2.000, capacity 2.05 calls/s, got 14 calls in 1.5 s, 14 of them from dispatchers that had seen the outage
 }
 
 func Example_order() {
-	two := func() *trace { return (&trace{}).take("a", "once", "k", 1).take("b", "once", "k", 2) }
-	judge("one by one", two().push("a", 2, 3, record.Delivered, 0).push("b", 3, 3.5, record.Delivered, 0))
-	judge("overtaken", two().push("b", 2.5, 2.6, record.Delivered, 0).push("a", 3, 3.5, record.Delivered, 0))
-	judge("side by side", two().push("a", 2, 3, record.Delivered, 0).push("b", 2.9, 3.5, record.Delivered, 0))
-	judge("rested", two().push("a", 2, 3, record.Unanswered, 0).notice("a", record.GivenUp, 3).push("b", 3.4, 3.5, record.Delivered, 0))
-	judge("no rest", two().push("a", 2, 3, record.Unanswered, 0).notice("a", record.GivenUp, 3).push("b", 3.3, 3.5, record.Delivered, 0))
-	judge("notice not answered", two().push("a", 2, 3, record.Failed, 0).notice("a", record.GivenUp, 4).push("b", 3.5, 3.6, record.Delivered, 0))
-	judge("out of turn", two().push("a", 2, 3, record.Delivered, 0).notice("b", record.HandedBack, 2.5))
+	twoAccepted := func() *journalBuilder {
+		return (&journalBuilder{}).accept("a", "once", "k", 1).accept("b", "once", "k", 2)
+	}
+	printViolations("in sequence", twoAccepted().push("a", 2, 3, record.Delivered, 0).push("b", 3, 3.5, record.Delivered, 0))
+	printViolations("reordered", twoAccepted().push("b", 2.5, 2.6, record.Delivered, 0).push("a", 3, 3.5, record.Delivered, 0))
+	printViolations("concurrent", twoAccepted().push("a", 2, 3, record.Delivered, 0).push("b", 2.9, 3.5, record.Delivered, 0))
+	printViolations("after cooldown", twoAccepted().push("a", 2, 3, record.Unanswered, 0).notice("a", record.GivenUp, 3).push("b", 3.4, 3.5, record.Delivered, 0))
+	printViolations("during cooldown", twoAccepted().push("a", 2, 3, record.Unanswered, 0).notice("a", record.GivenUp, 3).push("b", 3.3, 3.5, record.Delivered, 0))
+	printViolations("before the notice", twoAccepted().push("a", 2, 3, record.Failed, 0).notice("a", record.GivenUp, 4).push("b", 3.5, 3.6, record.Delivered, 0))
+	printViolations("handed back early", twoAccepted().push("a", 2, 3, record.Delivered, 0).notice("b", record.HandedBack, 2.5))
 	// Output:
-	// one by one: kept
-	// overtaken: order at 2.500 s: dispatcher 0 b e1-0: pushed at 2.500; a of the same key (k) was taken before it and was not over until 3.500
-	// side by side: order at 2.900 s: dispatcher 0 b e1-0: pushed at 2.900; a of the same key (k) was taken before it and was not over until 3.000
-	// rested: kept
-	// no rest: order at 3.300 s: dispatcher 0 b e1-0: pushed at 3.300; a of the same key (k) was taken before it and had a push that was out, or rested, until 3.400
-	// notice not answered: order at 3.500 s: dispatcher 0 b e1-0: pushed at 3.500; a of the same key (k) was taken before it and was not over until 4.000
-	// out of turn: kept
+	// in sequence: kept
+	// reordered: order at 2.500 s: dispatcher 0 b e1-0: pushed at 2.500; a of the same key (k) was accepted before it and had no final answer until 3.500
+	// concurrent: order at 2.900 s: dispatcher 0 b e1-0: pushed at 2.900; a of the same key (k) was accepted before it and had no final answer until 3.000
+	// after cooldown: kept
+	// during cooldown: order at 3.300 s: dispatcher 0 b e1-0: pushed at 3.300; a of the same key (k) was accepted before it and had a push in flight or its key in cooldown until 3.400
+	// before the notice: order at 3.500 s: dispatcher 0 b e1-0: pushed at 3.500; a of the same key (k) was accepted before it and had no final answer until 4.000
+	// handed back early: kept
 }
 
-func Example_waits() {
-	told := func(at float64) *trace {
-		return (&trace{}).take("a", "again", "", 1).take("b", "again", "", 1).push("a", 1, 1.1, record.Throttled, 2).
+func Example_toldWait() {
+	calledAt := func(at float64) *journalBuilder {
+		return (&journalBuilder{}).accept("a", "again", "", 1).accept("b", "again", "", 1).push("a", 1, 1.1, record.Throttled, 2).
 			push("b", at, at+0.1, record.Delivered, 0).notice("a", record.HandedBack, 5)
 	}
-	judge("on its way", told(1.24))
-	judge("in the wait", told(1.3))
-	judge("after it", told(3.1))
-	judge("restarted", told(2).life(record.Started, 1.5))
+	printViolations("in flight", calledAt(1.24))
+	printViolations("during the wait", calledAt(1.3))
+	printViolations("after the wait", calledAt(3.1))
+	printViolations("restarted", calledAt(2).event(record.Started, 1.5))
 	// Output:
-	// on its way: kept
-	// in the wait: waits at 1.300 s: dispatcher 0 b e1-0: called at 1.300; at 1.100 e1-0 had told it to wait until 3.100
-	// after it: kept
+	// in flight: kept
+	// during the wait: waits at 1.300 s: dispatcher 0 b e1-0: called at 1.300; at 1.100 e1-0 told a wait until 3.100
+	// after the wait: kept
 	// restarted: kept
 }
 
 func Example_crash() {
-	judge("as told", (&trace{}).life(record.Killed, 1).life(record.Exited, 1))
-	crash := &trace{}
+	printViolations("as requested", (&journalBuilder{}).event(record.Killed, 1).event(record.Exited, 1))
+	crash := &journalBuilder{}
 	crash.AddProcessEvent(record.ProcessEvent{Kind: record.Crashed, At: 3, Detail: "it ended with exit status 2"})
-	judge("unasked", crash)
+	printViolations("unexpected", crash)
 	// Output:
-	// as told: kept
-	// unasked: crash at 3.000 s: dispatcher 0  : it ended with exit status 2
+	// as requested: kept
+	// unexpected: crash at 3.000 s: dispatcher 0  : it ended with exit status 2
 }
 
-// A push that was left before the next was made, and read only after that by its endpoint, is no second copy; two that are out
-// together are.
-func Example_readLate() {
-	left := func(t *trace, from, to float64) *trace {
-		t.push("a", from, to, record.Unanswered, 0)
-		return t
+// A push whose connection the caller closed before it sent the next one does not count as concurrent, even if the endpoint
+// reads it only after that. Two pushes that are in flight together do.
+func Example_closedBeforeRead() {
+	withUnanswered := func(b *journalBuilder, from, to float64) *journalBuilder {
+		b.push("a", from, to, record.Unanswered, 0)
+		return b
 	}
-	judge("left, then read", left((&trace{}).take("a", "again", "", 1).push("a", 2, 2.5, record.Delivered, 0), 2.0003, 2.0004))
-	judge("left later", left((&trace{}).take("a", "again", "", 1).push("a", 2, 2.5, record.Delivered, 0), 2.0003, 2.1))
-	judge("sent after", left((&trace{}).take("a", "again", "", 1).push("a", 2, 2.5, record.Delivered, 0), 2.2, 2.2004))
+	printViolations("closed, then read", withUnanswered((&journalBuilder{}).accept("a", "again", "", 1).push("a", 2, 2.5, record.Delivered, 0), 2.0003, 2.0004))
+	printViolations("closed later", withUnanswered((&journalBuilder{}).accept("a", "again", "", 1).push("a", 2, 2.5, record.Delivered, 0), 2.0003, 2.1))
+	printViolations("sent later", withUnanswered((&journalBuilder{}).accept("a", "again", "", 1).push("a", 2, 2.5, record.Delivered, 0), 2.2, 2.2004))
 	// Output:
-	// left, then read: kept
-	// left later: twice at 2.000 s: dispatcher 0 a e1-0: repeatable, pushed at 2.000: its push of 2.000 at e1-0 was still out
-	// sent after: twice at 2.200 s: dispatcher 0 a e1-0: repeatable, pushed at 2.200: its push of 2.000 at e1-0 was still out
+	// closed, then read: kept
+	// closed later: twice at 2.000 s: dispatcher 0 a e1-0: repeatable, pushed at 2.000: its push of 2.000 to e1-0 was still in flight
+	// sent later: twice at 2.200 s: dispatcher 0 a e1-0: repeatable, pushed at 2.200: its push of 2.000 to e1-0 was still in flight
 }
 
-// A collapsible notification that is known in one zone may be pushed again there alone; one that never ran may go anywhere.
-func Example_zone() {
+// A collapsible notification with deduplication by zone may be repeated only in the zone of a push that may have run. One
+// that never ran may go to any zone.
+func Example_zoneScope() {
 	for _, first := range []record.PushState{record.Failed, record.Throttled} {
 		for _, second := range []string{"e1-0", "e1-1"} {
-			w := world()
+			w := newWorld()
 			w.Topics = append(w.Topics, scenario.Topic{Name: "zoned", Repeat: scenario.Collapsible, DedupScope: scenario.DedupScopeZone, DedupWindow: 2, TTL: 6})
 			w.Partners[1].Endpoints = append(w.Partners[1].Endpoints, scenario.Endpoint{ID: "e1-1", Dest: 1, Zone: "b"})
-			t := (&trace{}).take("a", "zoned", "", 1).push("a", 1, 1.5, first, 0).push("a", 2, 2.5, record.Delivered, 0)
-			t.Calls[1].Endpoint = second
-			fmt.Println(first, second, rules.Check(w, &t.Journal, 30))
+			b := (&journalBuilder{}).accept("a", "zoned", "", 1).push("a", 1, 1.5, first, 0).push("a", 2, 2.5, record.Delivered, 0)
+			b.Calls[1].Endpoint = second
+			fmt.Println(first, second, rules.Check(w, &b.Journal, 30))
 		}
 	}
 	// Output:
 	// failed e1-0 []
-	// failed e1-1 [twice at 2.000 s: dispatcher 0 a e1-1: collapsible, pushed at 2.000: zone "b"; its push of 1.000 at e1-0 in zone "a" may have run (answered as failed)]
+	// failed e1-1 [twice at 2.000 s: dispatcher 0 a e1-1: collapsible, pushed at 2.000: sent to zone "b", but its push of 1.000 to e1-0 in zone "a" may have run (answered as failed)]
 	// busy e1-0 []
 	// busy e1-1 []
 }
 
-// What was refused is not pushed: its client may have handed it in again elsewhere.
+// A refused notification must not be pushed, because its client may have handed it in again elsewhere.
 func Example_refused() {
-	t := (&trace{}).take("a", "again", "", 1)
-	t.HandIns[0].Status = 503
-	judge("refused", t)
-	judge("refused, and pushed", t.push("a", 2, 2.5, record.Delivered, 0))
+	b := (&journalBuilder{}).accept("a", "again", "", 1)
+	b.HandIns[0].Status = 503
+	printViolations("refused", b)
+	printViolations("refused and pushed", b.push("a", 2, 2.5, record.Delivered, 0))
 	// Output:
 	// refused: kept
-	// refused, and pushed: twice at 2.000 s: dispatcher 0 a e1-0: repeatable, pushed at 2.000: its client was told at 1.000 that it was refused
+	// refused and pushed: twice at 2.000 s: dispatcher 0 a e1-0: repeatable, pushed at 2.000: its client got a refusal at 1.000
 }
