--- a/lab/modelcheck/judge.go
+++ b/lab/modelcheck/judge.go
@@ -8,206 +8,210 @@
 	"orchiddrift/gateway"
 )
 
-// judge is the account of what the world saw, and the rules.
-type judge struct {
-	lock     sync.Mutex
-	topic    topicRules
-	messages []*account // in the order handed in
-	found    []string
-	lastUp   float64 // when the process that lives last could first answer
+// checker records what happens outside the processes of a run and checks it against the delivery rules. Times are in
+// seconds of the world's clock.
+type checker struct {
+	lock        sync.Mutex
+	topic       topicRules
+	messages    []*messageRecord // in the order of their hand-in
+	violations  []string
+	lastReadyAt float64 // when the latest process became ready
 }
 
-// topicRules are what the messages of a run allow.
+// topicRules holds the rules of the topic of a run's messages.
 type topicRules struct {
-	once    bool
-	window  float64 // 0 for none
-	zone    bool    // a repeat is known in one zone only
-	ordered bool
-}
-
-// account is what was seen of one message.
-type account struct {
-	id       string
-	until    float64
-	taken    bool
-	refused  bool // its client was told that it has no effect
-	calls    []*call
-	finalAt  float64  // delivered, or its notice was heard
-	by       *process // that had it delivered; nil for none
-	noticed  float64  // its notice was first told
-	attempts int      // begun for it, also such as did not connect
-}
-
-// call is a call as its endpoint saw it.
+	onceOnly   bool
+	window     float64 // seconds in which endpoints recognize a repeat; 0: no limit
+	zoneScoped bool    // endpoints recognize a repeat only in the zone of the first call
+	ordered    bool
+}
+
+// messageRecord holds what was seen of one message.
+type messageRecord struct {
+	id            string
+	expiresAt     float64
+	accepted      bool
+	refused       bool // its client got a refusal
+	calls         []*call
+	finalAt       float64  // when it was delivered, or its notice acknowledged; 0: neither
+	finalBy       *process // the process that delivered it; nil if none did
+	firstNoticeAt float64  // when its notice first came; 0: never
+	attempts      int      // connection attempts since its hand-in, including failed ones
+}
+
+// call is the part of a call that carries one message, as its endpoint saw it.
 type call struct {
 	endpoint, zone string
-	by             *process
-	first          float64
-	whole          bool // its last byte came
-	busy           bool // it was told that it never ran
-	open           bool
+	process        *process
+	firstByteAt    float64
+	complete       bool // its last byte arrived
+	rejected       bool // the endpoint answered that it never ran
+	inFlight       bool
 }
 
-// mayHaveRun tells that whoever sent the call cannot know that it never ran.
-func (c *call) mayHaveRun() bool { return c.whole && !c.busy }
+// mayHaveRun reports whether the sender cannot exclude that the call took effect.
+func (c *call) mayHaveRun() bool { return c.complete && !c.rejected }
 
-func (j *judge) broken(id, format string, args ...any) {
-	j.found = append(j.found, id+": "+fmt.Sprintf(format, args...))
+func (chk *checker) report(id, format string, args ...any) {
+	chk.violations = append(chk.violations, id+": "+fmt.Sprintf(format, args...))
 }
 
-func (j *judge) of(id string) *account {
-	for _, m := range j.messages {
+func (chk *checker) message(id string) *messageRecord {
+	for _, m := range chk.messages {
 		if m.id == id {
 			return m
 		}
 	}
-	return &account{id: id}
+	return &messageRecord{id: id}
 }
 
-// handed notes that a message is handed in.
-func (j *judge) handed(id string, until float64) {
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	j.messages = append(j.messages, &account{id: id, until: until})
+// handedIn records the hand-in of a message.
+func (chk *checker) handedIn(id string, expiresAt float64) {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	chk.messages = append(chk.messages, &messageRecord{id: id, expiresAt: expiresAt})
 }
 
-// answered notes that a message was taken on, as its client heard it.
-func (j *judge) answered(id string, taken bool) {
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	m := j.of(id)
-	m.taken, m.refused = taken, !taken
+// handInAnswered records the answer that the client of a message got.
+func (chk *checker) handInAnswered(id string, accepted bool) {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	m := chk.message(id)
+	m.accepted, m.refused = accepted, !accepted
 }
 
-// attempted notes that a connection for a message is asked for.
-func (j *judge) attempted() {
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	for _, m := range j.messages {
+// connectionAttempted records an attempt to connect to an endpoint. It counts for all messages, since a connection is not
+// bound to one of them.
+func (chk *checker) connectionAttempted() {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	for _, m := range chk.messages {
 		m.attempts++
 	}
 }
 
-// called judges the first byte of a call.
-func (j *judge) called(now float64, id, endpoint, zone string, by *process) *call {
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	c := &call{endpoint: endpoint, zone: zone, by: by, first: now, open: true}
-	i := slices.IndexFunc(j.messages, func(m *account) bool { return m.id == id })
+// callStarted checks the start of a call, at its first byte, and records it.
+func (chk *checker) callStarted(now float64, id, endpoint, zone string, process *process) *call {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	started := &call{endpoint: endpoint, zone: zone, process: process, firstByteAt: now, inFlight: true}
+	i := slices.IndexFunc(chk.messages, func(m *messageRecord) bool { return m.id == id })
 	if i < 0 {
-		j.broken(id, "called, and nobody handed it in")
-		return c
+		chk.report(id, "called, but no client handed it in")
+		return started
 	}
-	m := j.messages[i]
-	// A process that was killed at the answer leaves a call that may have run: the next may repeat it, as the topic allows.
+	m := chk.messages[i]
+	// A process that is killed while it gets an answer leaves a call that may have run, and the next process may repeat it as
+	// far as the topic allows. So a call after a delivery is a violation only in the process that delivered.
 	if m.refused {
-		j.broken(id, "called at %.3f, and its client was told that it was refused", now)
+		chk.report(id, "called at %.3f, but its client got a refusal", now)
 	}
-	if m.finalAt > 0 && now > m.finalAt+slack && (m.by == nil || m.by == by) {
-		j.broken(id, "called at %.3f, it was over at %.3f", now, m.finalAt)
+	if m.finalAt > 0 && now > m.finalAt+timingSlack && (m.finalBy == nil || m.finalBy == process) {
+		chk.report(id, "called at %.3f, after its final answer at %.3f", now, m.finalAt)
 	}
 	var first *call
-	for _, before := range m.calls {
-		if before.open {
-			j.broken(id, "called at %.3f at %s while its call of %.3f at %s is out", now, endpoint, before.first, before.endpoint)
+	for _, earlier := range m.calls {
+		if earlier.inFlight {
+			chk.report(id, "called at %.3f to %s while its call of %.3f to %s was in flight", now, endpoint, earlier.firstByteAt, earlier.endpoint)
 		}
-		if first == nil && before.mayHaveRun() {
-			first = before
+		if first == nil && earlier.mayHaveRun() {
+			first = earlier
 		}
 	}
 	switch {
 	case first == nil:
-	case j.topic.once:
-		j.broken(id, "once-only, called again at %.3f, its call of %.3f may have run", now, first.first)
-	case j.topic.window > 0 && now > first.first+j.topic.window+slack:
-		j.broken(id, "called again at %.3f, %.3f after its first call, outside the window", now, now-first.first)
-	case j.topic.zone && zone != first.zone:
-		j.broken(id, "called again at %.3f in zone %s, its first call was in zone %s", now, zone, first.zone)
+	case chk.topic.onceOnly:
+		chk.report(id, "once-only, called again at %.3f, but its call of %.3f may have run", now, first.firstByteAt)
+	case chk.topic.window > 0 && now > first.firstByteAt+chk.topic.window+timingSlack:
+		chk.report(id, "called again at %.3f, %.3f s after its first call, outside the deduplication window", now, now-first.firstByteAt)
+	case chk.topic.zoneScoped && zone != first.zone:
+		chk.report(id, "called again at %.3f in zone %s, but its first call was in zone %s", now, zone, first.zone)
 	}
-	if j.topic.ordered {
-		for _, before := range j.messages[:i] {
-			if before.taken && before.finalAt == 0 {
-				j.broken(id, "called at %.3f before %s of its key was over", now, before.id)
+	if chk.topic.ordered {
+		for _, earlier := range chk.messages[:i] {
+			if earlier.accepted && earlier.finalAt == 0 {
+				chk.report(id, "called at %.3f before the final answer of %s, which has the same key", now, earlier.id)
 			}
 		}
 	}
-	m.calls = append(m.calls, c)
-	return c
+	m.calls = append(m.calls, started)
+	return started
 }
 
-// ran notes that a call's last byte came.
-func (j *judge) ran(c *call) {
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	c.whole = true
+// requestComplete records that the last byte of a call arrived, so that it may have run.
+func (chk *checker) requestComplete(c *call) {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	c.complete = true
 }
 
-// left notes that calls are out no more, as their process closed the connection.
-func (j *judge) left(calls []*call) {
-	j.lock.Lock()
-	defer j.lock.Unlock()
+// callsAbandoned records that calls are no longer in flight because their process closed the connection.
+func (chk *checker) callsAbandoned(calls []*call) {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
 	for _, c := range calls {
-		c.open = false
+		c.inFlight = false
 	}
 }
 
-// ended notes that a call is out no more, and how its endpoint answered: with no status where it did not.
-func (j *judge) ended(now float64, id string, c *call, status int) {
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	c.open = false
+// callEnded records that a call is no longer in flight, and the status of its endpoint's answer; 0: no answer.
+func (chk *checker) callEnded(now float64, id string, c *call, status int) {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	c.inFlight = false
 	switch status {
 	case 200:
-		if m := j.of(id); m.finalAt == 0 {
-			m.finalAt, m.by = now, c.by
+		if m := chk.message(id); m.finalAt == 0 {
+			m.finalAt, m.finalBy = now, c.process
 		}
 	case 503, 429:
-		c.busy = true
+		c.rejected = true
 	}
 }
 
-// noticed judges a notice, and notes whether the platform's answer was heard.
-func (j *judge) noticed(now float64, id, outcome string, heard bool) {
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	const early = 0.7 // of its time, before which one that was never tried may not be given up
-	m := j.of(id)
-	if m.noticed == 0 {
-		m.noticed = now
-		if len(m.calls) == 0 && m.attempts == 0 && now < m.until-(1-early)*TTL {
-			j.broken(id, "%s at %.3f, untried, with %.3f left", outcome, now, m.until-now)
+// noticeReceived checks a notice. It records it as the final answer if the platform acknowledges it.
+func (chk *checker) noticeReceived(now float64, id, outcome string, acknowledged bool) {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	const earlyShare = 0.7 // share of the TTL during which an untried message must get no notice
+	m := chk.message(id)
+	if m.firstNoticeAt == 0 {
+		m.firstNoticeAt = now
+		if len(m.calls) == 0 && m.attempts == 0 && now < m.expiresAt-(1-earlyShare)*TTL {
+			chk.report(id, "%s at %.3f without an attempt, with %.3f s of its TTL left", outcome, now, m.expiresAt-now)
 		}
 	}
-	// Handing back tells the client that it may come again, which holds for what is known to all endpoints, or never ran.
-	if outcome == gateway.HandedBack && (j.topic.once || j.topic.zone) && slices.ContainsFunc(m.calls, (*call).mayHaveRun) {
-		j.broken(id, "handed back at %.3f though it may have run", now)
+	// A message that is handed back may be handed in again elsewhere. That is safe only if it never ran, or if a repeat is
+	// harmless or recognized by all endpoints.
+	if outcome == gateway.HandedBack && (chk.topic.onceOnly || chk.topic.zoneScoped) && slices.ContainsFunc(m.calls, (*call).mayHaveRun) {
+		chk.report(id, "handed back at %.3f, but it may have run", now)
 	}
-	if heard && m.finalAt == 0 {
+	if acknowledged && m.finalAt == 0 {
 		m.finalAt = now
 	}
 }
 
-// up notes that a process serves.
-func (j *judge) up(now float64) {
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	j.lastUp = now
+// processReady records that a process is ready to push and to send notices.
+func (chk *checker) processReady(now float64) {
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	chk.lastReadyAt = now
 }
 
-// close judges that each message has its final answer in time, and gives all that was found.
-func (j *judge) close() []string {
-	const late, backIn = 0.3, 1.5 // as the protocol has it
-	j.lock.Lock()
-	defer j.lock.Unlock()
-	for _, m := range j.messages {
-		due := max(m.until+late, j.lastUp+backIn) + slack
+// finish checks that each accepted message got its final answer in time, and returns all violations of the run.
+func (chk *checker) finish() []string {
+	const answerGrace, restartGrace = 0.3, 1.5 // seconds after the TTL and after a restart, as the protocol specifies
+	chk.lock.Lock()
+	defer chk.lock.Unlock()
+	for _, m := range chk.messages {
+		deadline := max(m.expiresAt+answerGrace, chk.lastReadyAt+restartGrace) + timingSlack
 		switch {
-		case !m.taken:
+		case !m.accepted:
 		case m.finalAt == 0:
-			j.broken(m.id, "taken on and never answered")
-		case m.finalAt > due:
-			j.broken(m.id, "answered at %.3f, due at %.3f", m.finalAt, due)
+			chk.report(m.id, "accepted, but got no final answer")
+		case m.finalAt > deadline:
+			chk.report(m.id, "final answer at %.3f, due by %.3f", m.finalAt, deadline)
 		}
 	}
-	return j.found
+	return chk.violations
 }
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -12,50 +12,50 @@
 	"pgregory.net/rapid"
 )
 
-// randomSeries are the series that TestRandomSeries plays where the command line does not say how many.
-const randomSeries = "3000"
+// randomSeriesCount is the number of series in TestRandomSeries unless the flag -rapid.checks sets another.
+const randomSeriesCount = "3000"
 
-// TestMain sets how many series are played at random.
+// TestMain sets the default number of random series.
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.checks", randomSeries); err != nil {
+	if err := flag.Set("rapid.checks", randomSeriesCount); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-// played counts the series of a run of the tests.
-var played atomic.Int64
+// seriesPlayed counts the series that all tests have run.
+var seriesPlayed atomic.Int64
 
-// play plays a plan in virtual time.
-func play(t *testing.T, plan Plan, fault Fault) (found []string, operations []int) {
+// play runs a plan in virtual time.
+func play(t *testing.T, plan Plan, fault Fault) (violations []string, operations []int) {
 	t.Helper()
-	played.Add(1)
-	synctest.Test(t, func(*testing.T) { found, operations = Run(plan, fault) })
-	return found, operations
+	seriesPlayed.Add(1)
+	synctest.Test(t, func(*testing.T) { violations, operations = Run(plan, fault) })
+	return violations, operations
 }
 
-// killed are the attempts that a process may make before it is killed.
-var killed = []Attempt{RefuseConnection, ConnectLate, ToldWaitOnConnect, RejectBusy, AnswerError, Hang, ResetUnanswered, TruncateRequest, KillMidRequest, KillAfterRequest}
+// killableAttempts are the outcomes of attempts in the exhaustive series.
+var killableAttempts = []Attempt{RefuseConnection, ConnectLate, ToldWaitOnConnect, RejectBusy, AnswerError, Hang, ResetUnanswered, TruncateRequest, KillMidRequest, KillAfterRequest}
 
-// shared are those that differ where two messages share a call.
-var shared = append([]Attempt{DeliverFirstOnly, FailLastOnly}, killed...)
+// sharedCallAttempts adds the outcomes that differ between the messages of a call.
+var sharedCallAttempts = append([]Attempt{DeliverFirstOnly, FailLastOnly}, killableAttempts...)
 
-// runner plays plans on all cores, and stops after a few that were broken.
-type runner struct {
-	t      *testing.T
-	plans  chan Plan
-	done   sync.WaitGroup
-	before int64 // series played when it began
-	broken atomic.Int64
+// planRunner runs plans on all cores and reports the first violations.
+type planRunner struct {
+	t            *testing.T
+	plans        chan Plan
+	done         sync.WaitGroup
+	playedBefore int64 // seriesPlayed at the start
+	violations   atomic.Int64
 }
 
-func newRunner(t *testing.T, each func(Plan) []string) *runner {
-	r := &runner{t: t, plans: make(chan Plan), before: played.Load()}
+func newPlanRunner(t *testing.T, check func(Plan) []string) *planRunner {
+	r := &planRunner{t: t, plans: make(chan Plan), playedBefore: seriesPlayed.Load()}
 	for range runtime.GOMAXPROCS(0) {
 		r.done.Go(func() {
 			for plan := range r.plans {
-				for _, text := range each(plan) {
-					if r.broken.Add(1) <= 10 {
+				for _, text := range check(plan) {
+					if r.violations.Add(1) <= 10 {
 						t.Errorf("%v: %s", plan, text)
 					}
 				}
@@ -65,20 +65,20 @@
 	return r
 }
 
-func (r *runner) wait() {
+func (r *planRunner) wait() {
 	close(r.plans)
 	r.done.Wait()
-	r.t.Logf("%d series", played.Load()-r.before)
+	r.t.Logf("%d series", seriesPlayed.Load()-r.playedBefore)
 }
 
-// All series of three processes, each with one kind of attempt, killed after 1.2 s or by its attempt, and of a fourth to
-// which nothing happens: 1,000 for each kind of message.
-func TestThreeKilled(t *testing.T) {
-	r := newRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
+// Runs all series of three processes in which each attempt of a process has the same outcome, and each process is killed
+// after 1.2 s or by its attempt. A fourth process without faults follows. There are 1,000 series for each topic.
+func TestThreeKilledProcesses(t *testing.T) {
+	r := newPlanRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
 	for _, topic := range Topics {
-		for _, a := range killed {
-			for _, b := range killed {
-				for _, c := range killed {
+		for _, a := range killableAttempts {
+			for _, b := range killableAttempts {
+				for _, c := range killableAttempts {
 					r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []Attempt{a}}, {Attempts: []Attempt{b}}, {Attempts: []Attempt{c}}}}
 				}
 			}
@@ -87,16 +87,16 @@
 	r.wait()
 }
 
-// The same with two messages that share calls, over two processes, and with every list that the processes may be told: a whole one,
-// late, none, without the endpoint of the first call, or with that in another zone.
-func TestSharedAndLists(t *testing.T) {
-	r := newRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
+// Runs all series of two processes with two messages that share calls, and all series of two processes with each combination
+// of list modes: complete, delayed, withheld, without the endpoint of the first call, or with that endpoint in another zone.
+func TestSharedCallsAndListModes(t *testing.T) {
+	r := newPlanRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
 	for _, topic := range Topics {
-		for _, a := range shared {
-			for _, b := range shared {
+		for _, a := range sharedCallAttempts {
+			for _, b := range sharedCallAttempts {
 				r.plans <- Plan{Topic: topic, SharedCalls: true, Processes: []Process{{Attempts: []Attempt{a}}, {Attempts: []Attempt{b}}, {Attempts: []Attempt{RefuseConnection}}}}
-				for first := range lists {
-					for second := range lists {
+				for first := range listModes {
+					for second := range listModes {
 						r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []Attempt{a}, List: first}, {Attempts: []Attempt{b}, List: second}}}
 					}
 				}
@@ -106,10 +106,10 @@
 	r.wait()
 }
 
-// A folder fails as two messages are handed in, with any part of the writes there, and the process is killed before it can be
-// written to again: what was refused is not called by the next.
-func TestRefusedStaysRefused(t *testing.T) {
-	r := newRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
+// Guards against a call for a refused message after a restart. The disk fails while two messages are handed in, any part of
+// the failing write reaches the file, and the process is killed before it can write again.
+func TestRefusedMessageNotCalled(t *testing.T) {
+	r := newPlanRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
 	for _, topic := range Topics {
 		for part := range 600 {
 			r.plans <- Plan{Topic: topic, ExtraMessagesAt: 0.1, Processes: []Process{
@@ -119,30 +119,30 @@
 	r.wait()
 }
 
-// All series of two processes of which one is killed at any of its operations: writes of files, of which nothing or a part is
-// there, connections, calls, notices and answers.
-func TestKilledAnywhere(t *testing.T) {
-	r := newRunner(t, func(p Plan) (found []string) {
-		for which := range p.Processes {
+// Runs all series of two processes of which one is killed at any one of its operations: file writes, of which nothing or a
+// part reaches the file, connections, calls, notices and answers to clients.
+func TestKilledAtAnyOperation(t *testing.T) {
+	r := newPlanRunner(t, func(base Plan) (violations []string) {
+		for which := range base.Processes {
 			for _, keep := range []int{0, 30} {
 				for op := 1; ; op++ {
-					plan := Plan{Topic: p.Topic, SharedCalls: p.SharedCalls, Processes: append([]Process{}, p.Processes...)}
+					plan := Plan{Topic: base.Topic, SharedCalls: base.SharedCalls, Processes: append([]Process{}, base.Processes...)}
 					plan.Processes[which].KillAtOp, plan.Processes[which].TornWriteBytes = op, keep
-					broken, operations := play(t, plan, NoFault)
-					for _, text := range broken {
-						found = append(found, plan.String()+": "+text)
+					found, operations := play(t, plan, NoFault)
+					for _, text := range found {
+						violations = append(violations, plan.String()+": "+text)
 					}
-					if operations[which] < op || len(found) > 0 {
+					if operations[which] < op || len(violations) > 0 {
 						break
 					}
 				}
 			}
 		}
-		return found
+		return violations
 	})
 	for _, topic := range Topics {
-		for _, a := range killed {
-			for _, b := range killed {
+		for _, a := range killableAttempts {
+			for _, b := range killableAttempts {
 				r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []Attempt{a}}, {Attempts: []Attempt{b}}}}
 			}
 		}
@@ -150,54 +150,54 @@
 	r.wait()
 }
 
-// Longer series at random: up to five processes, several attempts in each, lists that are old, late, without an endpoint or
-// with one in another zone, folders that fail, planned stops, notices without an answer.
+// Runs longer random series: up to five processes, several outcomes of attempts in each, all list modes, disk faults,
+// graceful stops and unanswered notices.
 func TestRandomSeries(t *testing.T) {
-	attempt := rapid.Map(rapid.IntRange(0, int(attempts)-1), func(i int) Attempt { return Attempt(i) })
+	attempt := rapid.Map(rapid.IntRange(0, int(attemptKinds)-1), func(i int) Attempt { return Attempt(i) })
 	process := rapid.Custom(func(t *rapid.T) Process {
-		p := Process{Attempts: rapid.SliceOfN(attempt, 1, 4).Draw(t, "attempts"), List: ListMode(rapid.IntRange(0, int(lists)-1).Draw(t, "list")),
-			GracefulStop: rapid.IntRange(0, 3).Draw(t, "ends") == 0, NoticesUnanswered: rapid.IntRange(0, 3).Draw(t, "unheard") == 0,
-			Lifetime: rapid.Float64Range(0.05, 3).Draw(t, "lives")}
-		if rapid.IntRange(0, 2).Draw(t, "at") == 0 {
-			p.KillAtOp, p.TornWriteBytes = rapid.IntRange(1, 20).Draw(t, "operation"), rapid.IntRange(0, 80).Draw(t, "keep")
+		p := Process{Attempts: rapid.SliceOfN(attempt, 1, 4).Draw(t, "attempts"), List: ListMode(rapid.IntRange(0, int(listModes)-1).Draw(t, "list")),
+			GracefulStop: rapid.IntRange(0, 3).Draw(t, "graceful stop") == 0, NoticesUnanswered: rapid.IntRange(0, 3).Draw(t, "notices unanswered") == 0,
+			Lifetime: rapid.Float64Range(0.05, 3).Draw(t, "lifetime")}
+		if rapid.IntRange(0, 2).Draw(t, "kill") == 0 {
+			p.KillAtOp, p.TornWriteBytes = rapid.IntRange(1, 20).Draw(t, "kill operation"), rapid.IntRange(0, 80).Draw(t, "torn write bytes")
 		}
-		if rapid.IntRange(0, 3).Draw(t, "told") == 0 {
-			p.StopAtOp = rapid.IntRange(1, 20).Draw(t, "told at")
+		if rapid.IntRange(0, 3).Draw(t, "stop") == 0 {
+			p.StopAtOp = rapid.IntRange(1, 20).Draw(t, "stop operation")
 		}
-		if rapid.IntRange(0, 2).Draw(t, "disk") == 0 {
-			p.DiskFaultAt, p.DiskFaultDuration = rapid.Float64Range(0, 1.5).Draw(t, "from"), rapid.Float64Range(0.05, 1).Draw(t, "for")
-			p.FailedWriteBytes = rapid.IntRange(0, 400).Draw(t, "part")
+		if rapid.IntRange(0, 2).Draw(t, "disk fault") == 0 {
+			p.DiskFaultAt, p.DiskFaultDuration = rapid.Float64Range(0, 1.5).Draw(t, "disk fault start"), rapid.Float64Range(0.05, 1).Draw(t, "disk fault duration")
+			p.FailedWriteBytes = rapid.IntRange(0, 400).Draw(t, "failed write bytes")
 		}
 		return p
 	})
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := Plan{rapid.SampledFrom(Topics).Draw(rt, "topic"), rapid.Bool().Draw(rt, "shared"), rapid.SliceOfN(process, 1, 5).Draw(rt, "processes"),
-			rapid.Float64Range(0, 0.5).Draw(rt, "handed in")}
+			rapid.Float64Range(0, 0.5).Draw(rt, "extra messages")}
 		if found, _ := play(t, plan, NoFault); len(found) > 0 {
 			rt.Fatalf("%v: %q", plan, found)
 		}
 	})
 }
 
-// The judge sees each planted fault.
+// Guards against a checker that detects nothing: each fault must lead to a violation, and the same plan without it to none.
 func TestPlanted(t *testing.T) {
-	hang, refuse, unheard := Process{Attempts: []Attempt{Hang}}, Process{Attempts: []Attempt{RefuseConnection}}, Process{Attempts: []Attempt{ResetUnanswered}, NoticesUnanswered: true}
+	hang, refuse, unanswered := Process{Attempts: []Attempt{Hang}}, Process{Attempts: []Attempt{RefuseConnection}}, Process{Attempts: []Attempt{ResetUnanswered}, NoticesUnanswered: true}
 	for name, c := range map[string]struct {
 		fault Fault
 		plan  Plan
 	}{
-		"forgotten call":     {ForgetMayHaveRun, Plan{Topic: "once", Processes: []Process{hang}}},
-		"forgotten window":   {ForgetMayHaveRun, Plan{Topic: "known", Processes: []Process{hang, refuse, refuse}}},
-		"forgotten zone":     {ForgetMayHaveRun, Plan{Topic: "zoned", Processes: []Process{hang, refuse}}},
-		"window of the last": {WindowFromLastCall, Plan{Topic: "known", Processes: []Process{{Attempts: []Attempt{AnswerError}}, {Attempts: []Attempt{RefuseConnection, AnswerError}, Lifetime: 1}, {Attempts: []Attempt{RefuseConnection}, Lifetime: 0.6}}}},
-		"lost notice":        {LoseNotice, Plan{Topic: "once", Processes: []Process{unheard}}},
-		"two calls":          {DuplicateCalls, Plan{Topic: "free", Processes: nil}},
+		"lost record of a call":       {ForgetMayHaveRun, Plan{Topic: "once", Processes: []Process{hang}}},
+		"lost start of the window":    {ForgetMayHaveRun, Plan{Topic: "known", Processes: []Process{hang, refuse, refuse}}},
+		"lost zone of the first call": {ForgetMayHaveRun, Plan{Topic: "zoned", Processes: []Process{hang, refuse}}},
+		"window from the last call":   {WindowFromLastCall, Plan{Topic: "known", Processes: []Process{{Attempts: []Attempt{AnswerError}}, {Attempts: []Attempt{RefuseConnection, AnswerError}, Lifetime: 1}, {Attempts: []Attempt{RefuseConnection}, Lifetime: 0.6}}}},
+		"lost notice":                 {LoseNotice, Plan{Topic: "once", Processes: []Process{unanswered}}},
+		"duplicate calls":             {DuplicateCalls, Plan{Topic: "free", Processes: nil}},
 	} {
 		if found, _ := play(t, c.plan, c.fault); len(found) == 0 {
-			t.Errorf("%s: not seen", name)
+			t.Errorf("%s: no violation found", name)
 		}
 		if found, _ := play(t, c.plan, NoFault); len(found) > 0 {
-			t.Errorf("%s: broken without the fault: %q", name, found)
+			t.Errorf("%s: violations without the fault: %q", name, found)
 		}
 	}
 }
--- a/lab/modelcheck/plan.go
+++ b/lab/modelcheck/plan.go
@@ -1,123 +1,156 @@
-// Package modelcheck plays one dispatcher's messages through a series of processes on one folder and judges what the world saw
-// of them. The gateway, the decision module, the ledger and the calls are the product's own; time, the folder, connections,
-// the list and the platform are the package's. It is meant for the virtual time of testing/synctest, in which a run of
-// ten seconds takes a millisecond, so that all short series can be tried.
+// Package modelcheck runs the messages of one dispatcher through a series of processes that share one ledger folder, with
+// crashes and faults as a plan says, and checks the calls and answers that result against the delivery rules. The gateway,
+// the decision module, the ledger and the calls are those of the product; the package simulates the clock, the folder, the
+// connections, the endpoint list and the platform. It is meant for the virtual time of testing/synctest, in which a run
+// of ten seconds takes about a millisecond, so that all short series can be tried.
 //
-// The judge keeps its account outside the processes: from the first byte of each call, the answers to hand-ins and the
-// notices. It reads neither the ledger nor what a process believes.
+// The checker works outside the processes: from the first byte of each call, the answers to hand-ins and the notices. It
+// reads neither the ledger nor the state of a process.
 package modelcheck
 
 import "fmt"
 
 // Times of a plan, in seconds.
 const (
-	TTL             = 9.0 // of each message
-	DedupWindow     = 3.0 // in which an endpoint knows a repeat, from its first byte on
-	DefaultLifetime = 1.2 // of a process that is killed by time
-	Downtime        = 0.2 // between a process and the next
-	slack           = 0.05
+	// TTL is the time to live of each message, in seconds.
+	TTL = 9.0
+	// DedupWindow is how long an endpoint recognizes a repeat, in seconds from the first byte of the first call.
+	DedupWindow = 3.0
+	// DefaultLifetime is the time until a process is killed or stopped, in seconds, if it sets no Lifetime.
+	DefaultLifetime = 1.2
+	// Downtime is the time between the end of a process and the start of the next, in seconds.
+	Downtime = 0.2
+	// timingSlack extends every time limit of the checker, in seconds.
+	timingSlack = 0.05
 )
 
-// Attempt is what becomes of an attempt to call an endpoint.
+// Attempt is the outcome of an attempt to call an endpoint.
 type Attempt int
 
-// What can become of an attempt.
+// The outcomes of an attempt.
 const (
-	RefuseConnection  Attempt = iota // no connection
-	ConnectLate                      // the connection comes up late, then the call is answered
-	ToldWaitOnConnect                // the destination tells a wait while the connection comes up
-	RejectBusy                       // turned away: it never runs
-	AnswerError                      // answered with an error: it may have run
-	Hang                             // it runs and is not answered
-	ResetUnanswered                  // it runs, and the connection breaks
-	TruncateRequest                  // the connection breaks before the call's last byte
-	KillMidRequest                   // the process is killed before the call's last byte
-	KillAfterRequest                 // the process is killed as the call's last byte is there
-	DeliverFirstOnly                 // of a call with two the first is delivered and the second turned away; alone: delivered
-	FailLastOnly                     // the first is turned away and the second may have run; alone: an error
-	Deliver                          // answered as delivered
-	attempts
+	// RefuseConnection refuses the connection.
+	RefuseConnection Attempt = iota
+	// ConnectLate delays the connection, then answers the call as delivered.
+	ConnectLate
+	// ToldWaitOnConnect has the destination tell a wait while the connection is being set up.
+	ToldWaitOnConnect
+	// RejectBusy answers that the destination is busy: the call never ran.
+	RejectBusy
+	// AnswerError answers with an error: the call may have run.
+	AnswerError
+	// Hang runs the call and sends no answer.
+	Hang
+	// ResetUnanswered runs the call and breaks the connection without an answer.
+	ResetUnanswered
+	// TruncateRequest breaks the connection before the last byte of the request.
+	TruncateRequest
+	// KillMidRequest kills the process before the last byte of the request.
+	KillMidRequest
+	// KillAfterRequest kills the process when the last byte of the request has arrived.
+	KillAfterRequest
+	// DeliverFirstOnly delivers the first message of a call and rejects the others as busy.
+	DeliverFirstOnly
+	// FailLastOnly rejects all messages of a call but the last as busy, and answers the last with an error.
+	FailLastOnly
+	// Deliver answers the call as delivered.
+	Deliver
+	// attemptKinds is the number of outcomes.
+	attemptKinds
 )
 
-// String is its name.
+// String returns the name of the outcome.
 func (a Attempt) String() string {
-	return [...]string{"refuse", "come up late", "give back", "busy", "fail", "hang", "reset", "cut short", "kill at first byte",
-		"kill at last byte", "first done", "last failed", "serve"}[a]
+	return [...]string{"refuse", "connect late", "told wait on connect", "busy", "fail", "hang", "reset", "truncate request", "kill mid-request",
+		"kill after request", "deliver first only", "fail last only", "serve"}[a]
 }
 
-// ListMode is what a process is told of the endpoints.
+// ListMode is the way in which a process gets the list of endpoints.
 type ListMode int
 
-// What it can be told.
+// The modes of the list.
 const (
-	ListComplete     ListMode = iota // all of them, at once
-	ListDelayed                      // after 0.8 s
-	ListWithheld                     // never: it has the list known at its start
-	ListWithoutFirst                 // without the first endpoint
-	ListFirstMoved                   // the first endpoint is in the other zone
-	lists
+	// ListComplete sends all endpoints, after 0.02 s.
+	ListComplete ListMode = iota
+	// ListDelayed sends all endpoints, after 0.8 s.
+	ListDelayed
+	// ListWithheld sends no list: the process only has the one from its start.
+	ListWithheld
+	// ListWithoutFirst sends a list without the first endpoint.
+	ListWithoutFirst
+	// ListFirstMoved sends a list with the first endpoint in the other zone.
+	ListFirstMoved
+	// listModes is the number of modes.
+	listModes
 )
 
-// Process is one process of a series.
+// Process is one process of a series. An operation is something that is visible outside the process: a write or removal of
+// a file, a connection, a write to it, an answer to a client, or a notice.
 type Process struct {
-	Attempts          []Attempt // of its attempts, in their order; the last goes for all that follow
+	Attempts          []Attempt // outcomes of its attempts in order; the last one applies to all that follow
 	List              ListMode
-	KillAtOp          int     // killed instead of its outside operation of this number, from 1 on; 0: after LifeTime
-	TornWriteBytes    int     // bytes of a file's write that are there all the same
-	GracefulStop      bool    // told to end after LifeTime, not killed
-	StopAtOp          int     // told to end at its outside operation of this number, where its loop runs by then, and killed after LifeTime; 0: not
-	DiskFaultAt       float64 // its folder cannot be written to from then on, seconds after its start,
-	DiskFaultDuration float64 // for so long
-	FailedWriteBytes  int     // bytes of the first write that fails that are there all the same
+	KillAtOp          int     // number of the operation at which it is killed, counted from 1; 0: none
+	TornWriteBytes    int     // bytes of a write that reach the file although the process is killed at it
+	GracefulStop      bool    // it is stopped gracefully at the end of its lifetime instead of killed
+	StopAtOp          int     // number of the operation at which it is told to stop, if its loop runs; it is killed at the end of its lifetime; 0: none
+	DiskFaultAt       float64 // seconds after its start at which writes to its folder begin to fail
+	DiskFaultDuration float64 // seconds for which writes to its folder fail; 0: none fail
+	FailedWriteBytes  int     // bytes of the first failing write that reach the file
 	NoticesUnanswered bool    // its notices get no answer
-	Lifetime          float64 // instead of LifeTime; 0 for that
+	Lifetime          float64 // seconds until it is killed or stopped; 0: DefaultLifetime
 }
 
-// Plan is a series of processes. The last one is followed by one to which nothing happens.
+// Plan is a series of processes. One more process without faults follows them.
 type Plan struct {
-	Topic           string // of all messages: once, zoned, known or free
-	SharedCalls     bool   // messages share calls and have keys of their own; else they have one key
+	Topic           string // topic of all messages, one of Topics
+	SharedCalls     bool   // messages have different keys and may share calls; otherwise all have the same key
 	Processes       []Process
-	ExtraMessagesAt float64 // two more messages come so many seconds after the first process's start; 0: none
+	ExtraMessagesAt float64 // seconds after the start of the first process at which two more messages come; 0: none
 }
 
+// String describes the plan for a failure message.
 func (p Plan) String() string {
-	text := p.Topic
+	description := p.Topic
 	if p.SharedCalls {
-		text += " shared"
+		description += " shared"
 	}
 	for _, x := range p.Processes {
-		text += fmt.Sprintf(" | %v", x.Attempts)
+		description += fmt.Sprintf(" | %v", x.Attempts)
 		if x.List != ListComplete {
-			text += fmt.Sprintf(" list %d", x.List)
+			description += fmt.Sprintf(" list %d", x.List)
 		}
 		if x.KillAtOp > 0 {
-			text += fmt.Sprintf(" killed at operation %d with %d bytes kept", x.KillAtOp, x.TornWriteBytes)
+			description += fmt.Sprintf(" killed at operation %d with %d bytes written", x.KillAtOp, x.TornWriteBytes)
 		}
 		if x.DiskFaultDuration > 0 {
-			text += fmt.Sprintf(" disk fails from %.2f for %.2f with %d bytes there", x.DiskFaultAt, x.DiskFaultDuration, x.FailedWriteBytes)
+			description += fmt.Sprintf(" disk fails from %.2f s for %.2f s with %d bytes written", x.DiskFaultAt, x.DiskFaultDuration, x.FailedWriteBytes)
 		}
 		if x.StopAtOp > 0 {
-			text += fmt.Sprintf(" told to end at operation %d", x.StopAtOp)
+			description += fmt.Sprintf(" stopped gracefully at operation %d", x.StopAtOp)
 		}
 		if x.GracefulStop {
-			text += " told to end"
+			description += " stopped gracefully"
 		}
 		if x.NoticesUnanswered {
-			text += " notices unheard"
+			description += " notices unanswered"
 		}
 	}
-	return text
+	return description
 }
 
-// Fault is a fault planted into a run, to show that the judge sees it.
+// Fault is a defect of the dispatcher that a run simulates, to show that the checker detects it.
 type Fault int
 
 // The faults.
 const (
-	NoFault            Fault = iota
-	ForgetMayHaveRun         // a restart forgets that a call may have run
-	WindowFromLastCall       // a restart counts the window from the last call
-	LoseNotice               // a restart forgets a notice that was not answered, and its message
-	DuplicateCalls           // each call is sent twice at once
+	// NoFault simulates no defect.
+	NoFault Fault = iota
+	// ForgetMayHaveRun loses, at a restart, the record that a call may have run.
+	ForgetMayHaveRun
+	// WindowFromLastCall counts the deduplication window from the last call after a restart, instead of the first.
+	WindowFromLastCall
+	// LoseNotice loses, at a restart, each unanswered notice together with its message.
+	LoseNotice
+	// DuplicateCalls sends each call twice at the same time.
+	DuplicateCalls
 )
--- a/lab/modelcheck/process.go
+++ b/lab/modelcheck/process.go
@@ -13,31 +13,32 @@
 	"orchiddrift/gateway"
 )
 
-// process is a dispatcher's process as far as the world sees it: until it is dead its operations reach the world.
+// process is a simulated process of the dispatcher. Its operations have an effect until it is killed.
 type process struct {
-	plan   Process
-	world  *world
-	begun  time.Time
-	runner *gateway.Runner
-	lock   sync.Mutex
-	ops    int
-	calls  int // attempts so far
-	dead   bool
-	conns  []net.Conn // the endpoints' sides
-	stop   chan struct{}
-	over   chan struct{} // its loop has ended
+	plan         Process
+	world        *world
+	startedAt    time.Time
+	runner       *gateway.Runner
+	lock         sync.Mutex
+	ops          int
+	attemptCount int // connection attempts so far
+	killed       bool
+	conns        []net.Conn // the endpoints' ends of its connections
+	stop         chan struct{}
+	loopDone     chan struct{} // closed when its event loop has ended
 }
 
-// operation tells whether the process lives to do something that the world sees, and counts it.
-func (p *process) operation() bool {
+// beginOperation counts an operation, kills or stops the process if the plan says so, and reports whether the process is
+// alive to perform it.
+func (p *process) beginOperation() bool {
 	p.lock.Lock()
 	p.ops++
-	now, ends := p.ops == p.plan.KillAtOp, p.ops == p.plan.StopAtOp && p.runner != nil
+	kills, stops := p.ops == p.plan.KillAtOp, p.ops == p.plan.StopAtOp && p.runner != nil
 	p.lock.Unlock()
-	if ends {
-		go p.world.end(p)
+	if stops {
+		go p.world.stopGracefully(p)
 	}
-	if now {
+	if kills {
 		p.kill()
 	}
 	return p.alive()
@@ -46,17 +47,17 @@
 func (p *process) alive() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return !p.dead
+	return !p.killed
 }
 
-// kill ends it at once: what it does from now on nobody sees. Its connections are reset.
+// kill ends the process at once and closes its connections. Its later operations have no effect.
 func (p *process) kill() {
 	p.lock.Lock()
-	if p.dead {
+	if p.killed {
 		p.lock.Unlock()
 		return
 	}
-	p.dead = true
+	p.killed = true
 	conns := p.conns
 	p.lock.Unlock()
 	for _, c := range conns {
@@ -65,18 +66,18 @@
 	close(p.stop)
 }
 
-// attempt tells what becomes of the next attempt.
-func (p *process) attempt() Attempt {
+// nextAttempt returns the planned outcome of the next attempt.
+func (p *process) nextAttempt() Attempt {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	a := p.plan.Attempts[min(p.calls, len(p.plan.Attempts)-1)]
-	p.calls++
-	return a
+	attempt := p.plan.Attempts[min(p.attemptCount, len(p.plan.Attempts)-1)]
+	p.attemptCount++
+	return attempt
 }
 
-// partOfFailing is how many bytes of a write that fails are there all the same: of the first so many as planned, then none. It is
-// never the whole: write(2) has then succeeded.
-func (p *process) partOfFailing() int {
+// takeFailedWriteBytes returns how many bytes of a failing write reach the file: as planned for the first one, none for the
+// others. The caller never writes all bytes, because write(2) would then have succeeded.
+func (p *process) takeFailedWriteBytes() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	n := p.plan.FailedWriteBytes
@@ -84,51 +85,52 @@
 	return n
 }
 
-// folder is the process's folder: nothing reaches it from a dead process, and it fails for a while as planned.
+// folder is the folder of a process. A killed process cannot change it, and its writes fail as planned.
 type folder struct {
 	*faulty.Folder
-	p *process
+	process *process
 }
 
 type file struct {
 	disk.File
-	p *process
+	process *process
 }
 
-// Create makes a file.
+// Create creates a file, unless the process is killed.
 func (f folder) Create(name string) (disk.File, error) {
-	if !f.p.alive() {
+	if !f.process.alive() {
 		return nil, faulty.ErrCrashed
 	}
-	x, err := f.Folder.Create(name)
-	return file{x, f.p}, err
+	created, err := f.Folder.Create(name)
+	return file{created, f.process}, err
 }
 
-// Open opens a file.
+// Open opens a file, also for a killed process, which cannot write to it.
 func (f folder) Open(name string) (disk.File, error) {
-	x, err := f.Folder.Open(name)
-	return file{x, f.p}, err
+	opened, err := f.Folder.Open(name)
+	return file{opened, f.process}, err
 }
 
-// Remove removes a file.
+// Remove removes a file, unless the process is killed.
 func (f folder) Remove(name string) error {
-	if !f.p.operation() {
+	if !f.process.beginOperation() {
 		return faulty.ErrCrashed
 	}
 	return f.Folder.Remove(name)
 }
 
-// WriteAt writes, or a part where the process is killed with it.
+// WriteAt writes b to the file. It writes only a part of it if the process is killed at this operation, or while the
+// disk fails.
 func (f file) WriteAt(b []byte, at int64) (int, error) {
-	was := f.p.alive()
-	if !f.p.operation() {
-		if was && f.p.plan.TornWriteBytes > 0 {
-			_, _ = f.File.WriteAt(b[:min(f.p.plan.TornWriteBytes, len(b))], at)
+	wasAlive := f.process.alive()
+	if !f.process.beginOperation() {
+		if wasAlive && f.process.plan.TornWriteBytes > 0 {
+			_, _ = f.File.WriteAt(b[:min(f.process.plan.TornWriteBytes, len(b))], at)
 		}
 		return 0, faulty.ErrCrashed
 	}
-	if since := time.Since(f.p.begun).Seconds(); since >= f.p.plan.DiskFaultAt && since < f.p.plan.DiskFaultAt+f.p.plan.DiskFaultDuration {
-		n, _ := f.File.WriteAt(b[:min(f.p.partOfFailing(), len(b)-1)], at)
+	if elapsed := time.Since(f.process.startedAt).Seconds(); elapsed >= f.process.plan.DiskFaultAt && elapsed < f.process.plan.DiskFaultAt+f.process.plan.DiskFaultDuration {
+		n, _ := f.File.WriteAt(b[:min(f.process.takeFailedWriteBytes(), len(b)-1)], at)
 		return n, &os.PathError{Op: "write", Path: "model", Err: syscall.EIO}
 	}
 	return f.File.WriteAt(b, at)
@@ -136,63 +138,63 @@
 
 var errRefused = &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 
-// dial opens a connection to an endpoint, as planned.
+// dial opens a connection to an endpoint with the planned outcome of the next attempt.
 func (p *process) dial(addr string, within time.Duration) (net.Conn, error) {
-	if !p.operation() {
+	if !p.beginOperation() {
 		return nil, errRefused
 	}
-	p.world.judge.attempted()
-	what := p.attempt()
-	switch what {
+	p.world.checker.connectionAttempted()
+	attempt := p.nextAttempt()
+	switch attempt {
 	case RefuseConnection:
 		time.Sleep(time.Millisecond)
 		return nil, errRefused
 	case ConnectLate:
 		time.Sleep(min(700*time.Millisecond, within))
 	case ToldWaitOnConnect:
-		p.world.tellWait(p, addr)
+		p.world.sendToldWait(p, addr)
 		time.Sleep(20 * time.Millisecond)
 	}
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	p.lock.Lock()
-	dead := p.dead
-	p.conns = append(p.conns, there)
+	killed := p.killed
+	p.conns = append(p.conns, remote)
 	p.lock.Unlock()
-	if dead {
-		_ = here.Close()
-		_ = there.Close()
+	if killed {
+		_ = local.Close()
+		_ = remote.Close()
 		return nil, errRefused
 	}
-	w := &wire{Conn: here, p: p, what: what}
+	w := &processConn{Conn: local, process: p, attempt: attempt}
 	if p.world.fault == DuplicateCalls {
-		w.second = p.again(addr)
+		w.duplicate = p.openDuplicate(addr)
 	}
-	go p.world.serve(p, addr, there, what, w)
+	go p.world.serve(p, addr, remote, attempt, w)
 	return w, nil
 }
 
-// again opens a second connection for the planted fault of two calls at once.
-func (p *process) again(addr string) net.Conn {
-	here, there := net.Pipe()
+// openDuplicate opens a second connection to an endpoint, for the fault DuplicateCalls.
+func (p *process) openDuplicate(addr string) net.Conn {
+	local, remote := net.Pipe()
 	p.lock.Lock()
-	p.conns = append(p.conns, there)
+	p.conns = append(p.conns, remote)
 	p.lock.Unlock()
-	go p.world.serve(p, addr, there, Hang, &wire{Conn: here, p: p})
-	return here
+	go p.world.serve(p, addr, remote, Hang, &processConn{Conn: local, process: p})
+	return local
 }
 
-// wire is the process's side of a connection.
-type wire struct {
+// processConn is the process's end of a connection.
+type processConn struct {
 	net.Conn
-	p      *process
-	what   Attempt
-	second net.Conn // what is written goes there as well; nil for none
-	lock   sync.Mutex
-	calls  []*call // that came on it
+	process   *process
+	attempt   Attempt
+	duplicate net.Conn // connection that gets a copy of all writes; nil for none
+	lock      sync.Mutex
+	calls     []*call // calls that arrived on the connection
 }
 
-// carries notes a call that came on the connection.
-func (w *wire) carries(c *call) {
+// addCall records a call that arrived on the connection.
+func (w *processConn) addCall(c *call) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.calls = append(w.calls, c)
@@ -200,66 +202,68 @@
 
 var errReset = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", syscall.ECONNRESET)}
 
-// Write writes, unless the process is dead.
-func (w *wire) Write(b []byte) (int, error) {
-	if !w.p.operation() {
+// Write sends b with the planned outcome of the attempt, unless the process is killed.
+func (w *processConn) Write(b []byte) (int, error) {
+	if !w.process.beginOperation() {
 		return 0, errReset
 	}
 	half := b[:len(b)/2]
-	switch w.what {
+	switch w.attempt {
 	case TruncateRequest:
 		n, _ := w.Conn.Write(half)
 		_ = w.Conn.Close()
 		return n, errReset
 	case KillMidRequest:
 		_, _ = w.Conn.Write(half)
-		w.p.kill()
+		w.process.kill()
 		return 0, errReset
 	}
-	if w.second != nil {
-		_, _ = w.second.Write(b)
-		time.Sleep(time.Millisecond) // its endpoint has read it by then, and holds it
+	if w.duplicate != nil {
+		_, _ = w.duplicate.Write(b)
+		time.Sleep(time.Millisecond) // until the endpoint has read the copy, which it does not answer
 	}
 	return w.Conn.Write(b)
 }
 
-// Close closes both ways. With it the process gives up what is out on it: at that moment, not when the endpoint sees it.
-func (w *wire) Close() error {
+// Close closes the connection in both directions. The calls on it end at this moment for the process, not when the endpoint
+// detects it.
+func (w *processConn) Close() error {
 	w.lock.Lock()
-	w.p.world.judge.left(w.calls)
+	w.process.world.checker.callsAbandoned(w.calls)
 	w.lock.Unlock()
-	if w.second != nil {
-		_ = w.second.Close()
+	if w.duplicate != nil {
+		_ = w.duplicate.Close()
 	}
 	return w.Conn.Close()
 }
 
-// SyscallConn tells that there is no descriptor: an idle connection cannot be looked at, and is not used again.
-func (w *wire) SyscallConn() (syscall.RawConn, error) { return nil, errors.ErrUnsupported }
+// SyscallConn returns errors.ErrUnsupported, as there is no file descriptor. The dispatcher then cannot check an idle
+// connection and does not reuse it.
+func (w *processConn) SyscallConn() (syscall.RawConn, error) { return nil, errors.ErrUnsupported }
 
-// platform is the list and the notices.
-type platform struct{ p *process }
+// platform simulates the platform's endpoint list and its answers to notices.
+type platform struct{ process *process }
 
-// Watch does nothing: what the list tells comes by the plan.
+// Watch does nothing, because the world sends the list as planned.
 func (platform) Watch(func(gateway.Event)) {}
 
-// Fetch does nothing.
+// Fetch does nothing, because the world sends the list as planned.
 func (platform) Fetch(func(gateway.Event)) {}
 
-// Notify takes a notice, and answers it as planned.
-func (x platform) Notify(n gateway.Notify, tell func(gateway.Event)) {
-	p := x.p
-	if !p.operation() {
+// Notify records a notice and answers it as planned.
+func (pf platform) Notify(n gateway.Notify, post func(gateway.Event)) {
+	p := pf.process
+	if !p.beginOperation() {
 		return
 	}
-	p.world.judge.noticed(p.world.now(), n.ID, n.Outcome, !p.plan.NoticesUnanswered)
+	p.world.checker.noticeReceived(p.world.now(), n.ID, n.Outcome, !p.plan.NoticesUnanswered)
 	if p.plan.NoticesUnanswered {
 		return
 	}
 	go func() {
 		time.Sleep(5 * time.Millisecond)
 		if p.alive() {
-			tell(gateway.NoticeAnswered{ID: n.ID})
+			post(gateway.NoticeAnswered{ID: n.ID})
 		}
 	}()
 }
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -23,22 +23,22 @@
 )
 
 const (
-	origin    = 1000.0 // the dispatcher's clock at the start of a run
-	tick      = 0.005
-	folderFor = 64 << 10 // bytes of the folder: a few small segments
-	dest      = "1"
-	kind      = "plain"
+	clockOrigin  = 1000.0   // the dispatcher's clock at the start of a run, in seconds
+	tickInterval = 0.005    // seconds
+	folderLimit  = 64 << 10 // bytes; enough for a few small segments
+	dest         = "1"
+	kind         = "plain"
 )
 
-// world surrounds the processes of a run.
+// world simulates the surroundings of the processes of a run: the folder, the endpoints, the clients and the platform.
 type world struct {
-	begun  time.Time
-	folder *faulty.Folder
-	judge  *judge
-	fault  Fault
-	lock   sync.Mutex
-	zones  map[string]string // by endpoint, as listed to the present process
-	counts *invariant.Counters
+	startedAt  time.Time
+	folder     *faulty.Folder
+	checker    *checker
+	fault      Fault
+	lock       sync.Mutex
+	zones      map[string]string // by endpoint, as in the latest list
+	invariants *invariant.Counters
 }
 
 var topics = map[string]decide.Topic{
@@ -48,212 +48,214 @@
 	"free":  {Repeat: decide.Repeatable, DedupScope: "all"},
 }
 
-// Topics are the names that a plan may have.
+// Topics lists the topics that a plan may use: once-only, collapsible within a zone, collapsible everywhere, repeatable.
 var Topics = []string{"once", "zoned", "known", "free"}
 
-// Run plays a plan with a planted fault, and gives what was broken, and how many operations the processes did.
-func Run(plan Plan, fault Fault) (found []string, operations []int) {
+// Run runs a plan with a fault. It returns the violations that the checker and the invariants found, and the number of
+// operations of each process, including the last one without faults.
+func Run(plan Plan, fault Fault) (violations []string, operations []int) {
 	topic := topics[plan.Topic]
-	w := &world{begun: time.Now(), folder: faulty.New(), fault: fault, counts: &invariant.Counters{Log: zerolog.Nop()},
-		judge: &judge{topic: topicRules{once: topic.Repeat == decide.OnceOnly, zone: topic.DedupScope == "zone", ordered: topic.Ordered && !plan.SharedCalls}}}
+	w := &world{startedAt: time.Now(), folder: faulty.New(), fault: fault, invariants: &invariant.Counters{Log: zerolog.Nop()},
+		checker: &checker{topic: topicRules{onceOnly: topic.Repeat == decide.OnceOnly, zoneScoped: topic.DedupScope == "zone", ordered: topic.Ordered && !plan.SharedCalls}}}
 	if topic.Repeat == decide.Collapsible {
-		w.judge.topic.window = topic.DedupWindow
+		w.checker.topic.window = topic.DedupWindow
 	}
 	series := append(append([]Process{}, plan.Processes...), Process{Attempts: []Attempt{Deliver}})
 	for i, p := range series {
 		w.folder = w.folder.Restart()
-		operations = append(operations, w.live(p, plan, i == 0, i == len(series)-1))
+		operations = append(operations, w.runProcess(p, plan, i == 0, i == len(series)-1))
 		time.Sleep(seconds(Downtime))
 	}
-	found = w.judge.close()
+	violations = w.checker.finish()
 	for _, name := range invariant.All {
-		if n := w.counts.Count(name); n > 0 {
-			found = append(found, fmt.Sprintf("invariant %s violated %d times", name, n))
+		if n := w.invariants.Count(name); n > 0 {
+			violations = append(violations, fmt.Sprintf("invariant %s violated %d times", name, n))
 		}
 	}
-	return found, operations
+	return violations, operations
 }
 
-func (w *world) now() float64 { return origin + time.Since(w.begun).Seconds() }
+func (w *world) now() float64 { return clockOrigin + time.Since(w.startedAt).Seconds() }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// live lets one process live, and tells how many operations it did.
-func (w *world) live(plan Process, all Plan, first, last bool) int {
-	p := &process{plan: plan, world: w, begun: time.Now(), stop: make(chan struct{}), over: make(chan struct{})}
-	lives := plan.Lifetime
-	if lives == 0 {
-		lives = DefaultLifetime
+// runProcess runs one process to its end and returns the number of its operations.
+func (w *world) runProcess(plan Process, series Plan, first, last bool) int {
+	p := &process{plan: plan, world: w, startedAt: time.Now(), stop: make(chan struct{}), loopDone: make(chan struct{})}
+	lifetime := plan.Lifetime
+	if lifetime == 0 {
+		lifetime = DefaultLifetime
 	}
-	if w.start(p, all.SharedCalls) {
-		w.judge.up(w.now())
-		go w.tellList(p)
+	if w.start(p, series.SharedCalls) {
+		w.checker.processReady(w.now())
+		go w.sendList(p)
 		if first {
-			w.handIn(p, all, "m1")
-			w.handIn(p, all, "m2")
+			w.handIn(p, series, "m1")
+			w.handIn(p, series, "m2")
 		}
-		if first && all.ExtraMessagesAt > 0 {
-			time.Sleep(seconds(all.ExtraMessagesAt))
-			w.handIn(p, all, "m3")
-			w.handIn(p, all, "m4")
+		if first && series.ExtraMessagesAt > 0 {
+			time.Sleep(seconds(series.ExtraMessagesAt))
+			w.handIn(p, series, "m3")
+			w.handIn(p, series, "m4")
 		}
 		switch {
 		case last:
-			w.settle()
+			w.awaitExpiry()
 		case plan.GracefulStop:
-			w.await(p, lives)
-			w.end(p)
+			w.awaitKill(p, lifetime)
+			w.stopGracefully(p)
 		default:
-			w.await(p, lives)
+			w.awaitKill(p, lifetime)
 		}
 		p.kill()
-		<-p.over
+		<-p.loopDone
 	}
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.ops
 }
 
-// end tells a process to end, as a planned stop does: no client comes any more, then no push starts, then it is over.
-func (w *world) end(p *process) {
-	const noPushAfter, overAfter = 0.5, 1.2
+// stopGracefully stops a process as the dispatcher does on a termination signal: it first closes the intake, then starts no
+// more pushes, then exits.
+func (w *world) stopGracefully(p *process) {
+	const pushesStopAfter, exitAfter = 0.5, 1.2 // seconds after the step before
 	p.runner.Post(gateway.IntakeClosed{})
-	w.await(p, noPushAfter)
+	w.awaitKill(p, pushesStopAfter)
 	p.runner.Post(gateway.PushesStopped{})
-	w.await(p, overAfter)
+	w.awaitKill(p, exitAfter)
 }
 
-// await waits until the process is dead, for so many seconds at most.
-func (w *world) await(p *process, s float64) {
+// awaitKill waits until the process is killed, for at most timeout seconds.
+func (w *world) awaitKill(p *process, timeout float64) {
 	select {
 	case <-p.stop:
-	case <-time.After(seconds(s)):
+	case <-time.After(seconds(timeout)):
 	}
 }
 
-// settle waits until the last message could be judged.
-func (w *world) settle() {
-	w.judge.lock.Lock()
-	until := w.now()
-	for _, m := range w.judge.messages {
-		until = max(until, m.until)
+// awaitExpiry waits until the final answers of all messages are due.
+func (w *world) awaitExpiry() {
+	w.checker.lock.Lock()
+	lastExpiry := w.now()
+	for _, m := range w.checker.messages {
+		lastExpiry = max(lastExpiry, m.expiresAt)
 	}
-	w.judge.lock.Unlock()
-	const after = 1.0
-	time.Sleep(seconds(until + after - w.now()))
+	w.checker.lock.Unlock()
+	const settleTime = 1.0 // seconds after the last TTL
+	time.Sleep(seconds(lastExpiry + settleTime - w.now()))
 }
 
-// start opens the folder and lets the loop run. It tells whether the process came so far.
+// start opens the ledger and starts the event loop. It reports whether the process got that far.
 func (w *world) start(p *process, shared bool) bool {
-	known := directory.New()
-	known.Replace(w.list(ListComplete))
-	book, owed, _, err := ledger.Open(folder{w.folder, p}, ledger.Options{Limit: folderFor})
+	endpoints := directory.New()
+	endpoints.Replace(w.endpoints(ListComplete))
+	openLedger, pending, _, err := ledger.Open(folder{w.folder, p}, ledger.Options{Limit: folderLimit})
 	if err != nil {
 		p.kill()
 		return false
 	}
-	var all []decide.Topic
+	var allTopics []decide.Topic
 	for _, name := range Topics {
 		t := topics[name]
 		t.Name, t.Objective, t.TTL, t.Benefit = name, 1, TTL, 1
-		all = append(all, t)
+		allTopics = append(allTopics, t)
 	}
-	batch := map[string]int{}
+	batchSize := map[string]int{}
 	if shared {
-		batch[kind] = 10
+		batchSize[kind] = 10
 	}
-	module := decide.New(1, known, all, decide.Capacity{MaxCalls: 6, MaxHeld: 20, BatchSize: batch}, decide.Routes{},
+	module := decide.New(1, endpoints, allTopics, decide.Capacity{MaxCalls: 6, MaxHeld: 20, BatchSize: batchSize}, decide.Routes{},
 		decide.Recovery{InitialCapacity: 0.2, WarmUp: 5, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 1},
-		decide.PushPolicy{MaxPushes: 8, KeyCooldown: 0.1, Tick: tick, IdleTimeout: 5}, decide.TenantQuotas{}, false)
-	p.runner = &gateway.Runner{Gateway: gateway.New(module, known, book.HasRoom, nil, batch, 1.5), Ledger: book, Platform: platform{p},
-		Clock: w.now, Tick: tick, Log: zerolog.Nop(), Events: make(chan gateway.Event, 1024), Dialer: push.Dialer(p.dial)}
-	p.runner.Gateway.SetSendChecker(invariant.NewSendChecker(w.counts, invariant.Margins{DrainGrace: 0.5, KeyHold: 0.1}, w.now()+0.5))
-	p.runner.Gateway.AdvanceCallID(book.LastCallNumber())
+		decide.PushPolicy{MaxPushes: 8, KeyCooldown: 0.1, Tick: tickInterval, IdleTimeout: 5}, decide.TenantQuotas{}, false)
+	p.runner = &gateway.Runner{Gateway: gateway.New(module, endpoints, openLedger.HasRoom, nil, batchSize, 1.5), Ledger: openLedger, Platform: platform{p},
+		Clock: w.now, Tick: tickInterval, Log: zerolog.Nop(), Events: make(chan gateway.Event, 1024), Dialer: push.Dialer(p.dial)}
+	p.runner.Gateway.SetSendChecker(invariant.NewSendChecker(w.invariants, invariant.Margins{DrainGrace: 0.5, KeyHold: 0.1}, w.now()+0.5))
+	p.runner.Gateway.AdvanceCallID(openLedger.LastCallNumber())
 	p.runner.Gateway.AwaitFirstList(w.now() + 0.5)
 	r := p.runner
-	owed = w.plant(owed)
+	pending = w.applyFault(pending)
 	go func() {
-		r.Restore(owed)
+		r.Restore(pending)
 		r.Run(p.stop)
-		close(p.over)
+		close(p.loopDone)
 	}()
 	return true
 }
 
-// plant changes what a restart finds, as the fault has it.
-func (w *world) plant(owed []ledger.Pending) []ledger.Pending {
-	var list []ledger.Pending
-	for _, o := range owed {
+// applyFault returns the pending messages that a restart finds, changed as the fault says.
+func (w *world) applyFault(pending []ledger.Pending) []ledger.Pending {
+	var changed []ledger.Pending
+	for _, entry := range pending {
 		switch {
 		case w.fault == ForgetMayHaveRun:
-			o.Message.RanAt = 0
-		case w.fault == WindowFromLastCall && o.Message.RanAt > 0 && o.LastCall.StartedAt > 0:
-			o.Message.RanAt = o.LastCall.StartedAt
-		case w.fault == LoseNotice && o.Notice != nil:
+			entry.Message.RanAt = 0
+		case w.fault == WindowFromLastCall && entry.Message.RanAt > 0 && entry.LastCall.StartedAt > 0:
+			entry.Message.RanAt = entry.LastCall.StartedAt
+		case w.fault == LoseNotice && entry.Notice != nil:
 			continue
 		}
-		list = append(list, o)
+		changed = append(changed, entry)
 	}
-	return list
+	return changed
 }
 
-// list is the endpoints as a process is told of them, and where they are from then on.
-func (w *world) list(what ListMode) []directory.Endpoint {
+// endpoints returns the list of endpoints for a mode, and sets the zones in which they are from now on.
+func (w *world) endpoints(mode ListMode) []directory.Endpoint {
 	first := directory.Endpoint{ID: "e1", Zone: "a", Kind: kind, Dest: dest, Stage: directory.Ready, Addr: "e1"}
 	second := directory.Endpoint{ID: "e2", Zone: "b", Kind: kind, Dest: dest, Stage: directory.Ready, Addr: "e2"}
-	if what == ListFirstMoved {
+	if mode == ListFirstMoved {
 		first.Zone = "b"
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.zones = map[string]string{"e1": first.Zone, "e2": second.Zone}
-	if what == ListWithoutFirst {
+	if mode == ListWithoutFirst {
 		return []directory.Endpoint{second}
 	}
 	return []directory.Endpoint{first, second}
 }
 
-// tellList tells a process of the endpoints as planned.
-func (w *world) tellList(p *process) {
-	const soon, late = 0.02, 0.8
-	wait := soon
+// sendList sends a process the list of endpoints as planned.
+func (w *world) sendList(p *process) {
+	const delay, longDelay = 0.02, 0.8 // seconds
+	wait := delay
 	switch p.plan.List {
 	case ListWithheld:
 		return
 	case ListDelayed:
-		wait = late
+		wait = longDelay
 	}
 	r := p.runner
 	time.Sleep(seconds(wait))
 	if p.alive() {
-		r.Post(gateway.Listed{Full: true, Endpoints: w.list(p.plan.List)})
+		r.Post(gateway.Listed{Full: true, Endpoints: w.endpoints(p.plan.List)})
 	}
 }
 
-// tellWait lets the destination tell a wait.
-func (w *world) tellWait(p *process, addr string) {
+// sendToldWait sends a process a told wait of the destination.
+func (w *world) sendToldWait(p *process, addr string) {
 	if p.alive() {
 		p.runner.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: addr, Dest: dest, Kind: kind}, Wait: 0.3})
 	}
 }
 
-// handIn hands a message in.
+// handIn hands in a message to a process.
 func (w *world) handIn(p *process, plan Plan, id string) {
 	m := &message.Message{ExpiresAt: w.now() + TTL, Body: []byte("body"), IdempotencyKey: "mark-" + id}
 	m.ID, m.Topic, m.Dest, m.Key = id, plan.Topic, dest, "key"
 	if plan.SharedCalls {
 		m.Key = "key of " + id
 	}
-	w.judge.handed(id, m.ExpiresAt)
+	w.checker.handedIn(id, m.ExpiresAt)
 	p.runner.Post(gateway.Arrived{Message: m, Reply: func(r gateway.Reply) {
-		if p.operation() {
-			w.judge.answered(id, r.Accepted)
+		if p.beginOperation() {
+			w.checker.handInAnswered(id, r.Accepted)
 		}
 	}})
 }
 
-// serve is an endpoint's side of a connection.
-func (w *world) serve(p *process, endpoint string, conn net.Conn, what Attempt, from *wire) {
+// serve runs an endpoint's end of a connection.
+func (w *world) serve(p *process, endpoint string, conn net.Conn, attempt Attempt, caller *processConn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -261,7 +263,7 @@
 		if err != nil || len(head) == 0 {
 			return
 		}
-		at := w.now()
+		firstByteAt := w.now()
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -274,25 +276,25 @@
 		zone := w.zones[endpoint]
 		w.lock.Unlock()
 		calls := map[string]*call{}
-		ids := idsOf(req, body)
+		ids := messageIDs(req, body)
 		for _, id := range ids {
-			calls[id] = w.judge.called(at, id, endpoint, zone, p)
-			w.judge.ran(calls[id])
-			from.carries(calls[id])
+			calls[id] = w.checker.callStarted(firstByteAt, id, endpoint, zone, p)
+			w.checker.requestComplete(calls[id])
+			caller.addCall(calls[id])
 		}
-		if !w.respond(p, conn, ids, calls, what) {
+		if !w.respond(p, conn, ids, calls, attempt) {
 			return
 		}
 	}
 }
 
-// idsOf are the messages of a request.
-func idsOf(req *http.Request, body []byte) []string {
+// messageIDs returns the ids of the messages in a request.
+func messageIDs(req *http.Request, body []byte) []string {
 	if id := req.Header.Get("X-Call-Id"); id != "" {
 		return []string{id}
 	}
 	var lines []struct{ ID string }
-	_ = json.Unmarshal(body, &lines) // one that cannot be read has no messages, and is answered as such
+	_ = json.Unmarshal(body, &lines) // an unreadable body counts as one without messages
 	var ids []string
 	for _, l := range lines {
 		ids = append(ids, l.ID)
@@ -300,35 +302,35 @@
 	return ids
 }
 
-// statuses are the answers to calls by what becomes of them; the others get none.
-var statuses = map[Attempt]int{RejectBusy: http.StatusServiceUnavailable, AnswerError: http.StatusInternalServerError, ConnectLate: http.StatusOK,
+// answerStatus maps outcomes to the status of the answer; the other outcomes send no answer.
+var answerStatus = map[Attempt]int{RejectBusy: http.StatusServiceUnavailable, AnswerError: http.StatusInternalServerError, ConnectLate: http.StatusOK,
 	ToldWaitOnConnect: http.StatusOK, DeliverFirstOnly: http.StatusOK, FailLastOnly: http.StatusInternalServerError, Deliver: http.StatusOK}
 
-// respond does with a whole call as planned, and tells whether the connection goes on.
-func (w *world) respond(p *process, conn net.Conn, ids []string, calls map[string]*call, what Attempt) bool {
-	status := statuses[what]
-	if what == KillAfterRequest {
+// respond applies the planned outcome to a complete call, and reports whether the connection stays usable.
+func (w *world) respond(p *process, conn net.Conn, ids []string, calls map[string]*call, attempt Attempt) bool {
+	status := answerStatus[attempt]
+	if attempt == KillAfterRequest {
 		p.kill()
 	}
-	if what == Hang {
-		_, _ = conn.Read(make([]byte, 1)) // until the caller leaves
+	if attempt == Hang {
+		_, _ = conn.Read(make([]byte, 1)) // until the caller closes the connection
 	}
 	if status == 0 {
 		for _, id := range ids {
-			w.judge.ended(w.now(), id, calls[id], 0)
+			w.checker.callEnded(w.now(), id, calls[id], 0)
 		}
 		return false
 	}
 	if len(ids) == 1 {
-		w.judge.ended(w.now(), ids[0], calls[ids[0]], status)
+		w.checker.callEnded(w.now(), ids[0], calls[ids[0]], status)
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n", status)
 		return err == nil
 	}
-	return w.respondShared(conn, ids, calls, what)
+	return w.respondShared(conn, ids, calls, attempt)
 }
 
-// respondShared answers a call with several messages: alike, or each in its own way.
-func (w *world) respondShared(conn net.Conn, ids []string, calls map[string]*call, what Attempt) bool {
+// respondShared answers a call with several messages, with a state for each.
+func (w *world) respondShared(conn net.Conn, ids []string, calls map[string]*call, attempt Attempt) bool {
 	type line struct {
 		ID    string `json:"id"`
 		State string `json:"state"`
@@ -336,12 +338,12 @@
 	states := map[int]string{http.StatusOK: "done", http.StatusServiceUnavailable: "busy", http.StatusInternalServerError: "failed"}
 	var lines []line
 	for i, id := range ids {
-		status := statuses[what]
+		status := answerStatus[attempt]
 		switch {
-		case what == DeliverFirstOnly && i > 0, what == FailLastOnly && i < len(ids)-1:
+		case attempt == DeliverFirstOnly && i > 0, attempt == FailLastOnly && i < len(ids)-1:
 			status = http.StatusServiceUnavailable
 		}
-		w.judge.ended(w.now(), id, calls[id], status)
+		w.checker.callEnded(w.now(), id, calls[id], status)
 		lines = append(lines, line{id, states[status]})
 	}
 	body, _ := json.Marshal(lines) // strings always marshal
