--- a/lab/soak/answers.go
+++ b/lab/soak/answers.go
@@ -9,52 +9,57 @@
 	"orchiddrift/lab/partner"
 )
 
-// answers gives endpoints' answers their shape on the wire: how they say where they end, and at which byte some are cut.
-type answers struct {
+// responseShaper varies the encoding of the endpoints' answers: how the end of the body is marked, interim responses, and the
+// byte at which some answers are truncated.
+type responseShaper struct {
 	lock   sync.Mutex
-	chance *rand.Rand
+	random *rand.Rand
 }
 
+// The shares of the encodings.
 const (
-	chunkedShare, trailerShare, untilCloseShare, interimShare = 0.3, 0.1, 0.1, 0.1
-	cutAnswers                                                = 0.04
+	// The shares of the answers that are chunked, end with the connection, or follow an interim response. The other answers have
+	// a Content-Length. trailerShare is the share of the chunked answers that have a trailer.
+	chunkedShare, trailerShare, closeDelimitedShare, interimShare = 0.3, 0.1, 0.1, 0.1
+	// truncatedShare is the share of the answers that are truncated.
+	truncatedShare = 0.04
 )
 
-// shape writes an answer's head and body anew.
-func (a *answers) shape(head, body []byte) partner.EncodedResponse {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	var s partner.EncodedResponse
-	text := &bytes.Buffer{}
-	if a.chance.Float64() < interimShare {
-		text.WriteString("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
+// encode returns an answer with the given head and body in a random encoding.
+func (s *responseShaper) encode(head, body []byte) partner.EncodedResponse {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	var response partner.EncodedResponse
+	encoded := &bytes.Buffer{}
+	if s.random.Float64() < interimShare {
+		encoded.WriteString("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 	}
-	s.StatusLineEnd = text.Len() + bytes.IndexByte(head, '\n') + 1
-	text.Write(head)
-	switch x := a.chance.Float64(); {
-	case x < untilCloseShare:
-		text.WriteString("\r\n")
-		text.Write(body)
-		s.CloseDelimited = true
-	case x < untilCloseShare+chunkedShare:
-		text.WriteString("Transfer-Encoding: chunked\r\n\r\n")
+	response.StatusLineEnd = encoded.Len() + bytes.IndexByte(head, '\n') + 1
+	encoded.Write(head)
+	switch draw := s.random.Float64(); {
+	case draw < closeDelimitedShare:
+		encoded.WriteString("\r\n")
+		encoded.Write(body)
+		response.CloseDelimited = true
+	case draw < closeDelimitedShare+chunkedShare:
+		encoded.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 		for len(body) > 0 {
-			n := 1 + a.chance.IntN(len(body))
-			fmt.Fprintf(text, "%x\r\n%s\r\n", n, body[:n])
+			n := 1 + s.random.IntN(len(body))
+			fmt.Fprintf(encoded, "%x\r\n%s\r\n", n, body[:n])
 			body = body[n:]
 		}
-		text.WriteString("0\r\n")
-		if a.chance.Float64() < trailerShare {
-			text.WriteString("X-Trailer: done\r\n")
+		encoded.WriteString("0\r\n")
+		if s.random.Float64() < trailerShare {
+			encoded.WriteString("X-Trailer: done\r\n")
 		}
-		text.WriteString("\r\n")
+		encoded.WriteString("\r\n")
 	default:
-		fmt.Fprintf(text, "Content-Length: %d\r\n\r\n%s", len(body), body)
+		fmt.Fprintf(encoded, "Content-Length: %d\r\n\r\n%s", len(body), body)
 	}
-	s.Bytes = text.Bytes()
-	if a.chance.Float64() < cutAnswers {
-		s.TruncateAt, s.ResetAfterTruncation = 1+a.chance.IntN(len(s.Bytes)), a.chance.IntN(2) == 0
-		s.TruncateAt = min(s.TruncateAt, len(s.Bytes)-1)
+	response.Bytes = encoded.Bytes()
+	if s.random.Float64() < truncatedShare {
+		response.TruncateAt, response.ResetAfterTruncation = 1+s.random.IntN(len(response.Bytes)), s.random.IntN(2) == 0
+		response.TruncateAt = min(response.TruncateAt, len(response.Bytes)-1)
 	}
-	return s
+	return response
 }
--- a/lab/soak/crowd.go
+++ b/lab/soak/crowd.go
@@ -6,33 +6,37 @@
 	"time"
 )
 
+// The floods of idle connections.
 const (
-	crowdSize  = 150 // idle connections to one dispatcher: more than it has descriptors
-	crowdRests = 1500 * time.Millisecond
-	crowdStep  = 4 * time.Millisecond // between two connections
+	// floodSize is the number of idle connections to one dispatcher. It exceeds the dispatcher's limit of file descriptors.
+	floodSize = 150
+	// floodHold is how long the connections stay open, and the time-out for connecting.
+	floodHold = 1500 * time.Millisecond
+	// floodInterval is the time between two connections.
+	floodInterval = 4 * time.Millisecond
 )
 
-// crowd keeps a dispatcher's descriptors filled with clients that connect and say nothing, until the soak is over.
-func crowd(ctx context.Context, addr string) {
+// floodConnections exhausts the file descriptors of a dispatcher with idle connections until ctx is done.
+func floodConnections(ctx context.Context, addr string) {
 	for ctx.Err() == nil {
 		var idle []net.Conn
-		for range crowdSize {
-			if conn, err := net.DialTimeout("tcp", addr, crowdRests); err == nil {
+		for range floodSize {
+			if conn, err := net.DialTimeout("tcp", addr, floodHold); err == nil {
 				idle = append(idle, conn)
 			}
-			if !rest(ctx, crowdStep) {
+			if !sleep(ctx, floodInterval) {
 				break
 			}
 		}
-		rest(ctx, crowdRests)
+		sleep(ctx, floodHold)
 		for _, conn := range idle {
 			_ = conn.Close()
 		}
 	}
 }
 
-// rest waits; it tells whether the soak still goes on.
-func rest(ctx context.Context, d time.Duration) bool {
+// sleep waits for d or until ctx is done, and reports whether it waited for d.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
--- a/lab/soak/leaving.go
+++ b/lab/soak/leaving.go
@@ -7,41 +7,42 @@
 	"orchiddrift/lab/record"
 )
 
-// leaving sends a share of the clients to dispatchers that were told to end: clients use the connections that they have for as
-// long as those stay open, up to the kill.
-type leaving struct {
+// terminatingPicker directs a share of the hand-ins to dispatchers that are terminating, because clients use their open
+// connections until the dispatcher closes them or is killed.
+type terminatingPicker struct {
 	journal *record.Journal
 	lock    sync.Mutex
-	chance  *rand.Rand
+	random  *rand.Rand
 }
 
-// leavingShare of the hand-ins go to a dispatcher that was told to end, while there is one.
-const leavingShare = 0.4
+// terminatingShare is the share of the hand-ins that go to a terminating dispatcher while there is one.
+const terminatingShare = 0.4
 
-func newLeaving(j *record.Journal, seed uint64) *leaving {
-	return &leaving{journal: j, chance: chanceOf(seed, forLeaving)}
+func newTerminatingPicker(j *record.Journal, seed uint64) *terminatingPicker {
+	return &terminatingPicker{journal: j, random: newRand(seed, terminatingStream)}
 }
 
-// choose picks a dispatcher that was told to end and has not.
-func (l *leaving) choose() (int, bool) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.chance.Float64() >= leavingShare {
+// pick returns a dispatcher that got a termination signal and has not exited, or false if there is none or this hand-in
+// is not in the share.
+func (p *terminatingPicker) pick() (int, bool) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.random.Float64() >= terminatingShare {
 		return 0, false
 	}
-	last := map[int]string{}
+	lastEvent := map[int]string{}
 	var order []int
-	l.journal.WithLock(func() {
-		for _, x := range l.journal.ProcessEvents {
-			if last[x.Dispatcher] == "" {
-				order = append(order, x.Dispatcher)
+	p.journal.WithLock(func() {
+		for _, event := range p.journal.ProcessEvents {
+			if lastEvent[event.Dispatcher] == "" {
+				order = append(order, event.Dispatcher)
 			}
-			last[x.Dispatcher] = x.Kind
+			lastEvent[event.Dispatcher] = event.Kind
 		}
 	})
-	for _, d := range order {
-		if last[d] == record.TerminateSent {
-			return d, true
+	for _, dispatcher := range order {
+		if lastEvent[dispatcher] == record.TerminateSent {
+			return dispatcher, true
 		}
 	}
 	return 0, false
--- a/lab/soak/machine.go
+++ b/lab/soak/machine.go
@@ -17,264 +17,292 @@
 	"orchiddrift/dispatcher"
 )
 
-// The variables that tell a child of the soak what its machine is like.
+// The environment variables that set the faults of a dispatcher process.
 const (
-	seedVariable   = "ORCHIDDRIFT_SOAK_SEED"
-	folderVariable = "ORCHIDDRIFT_SOAK_FOLDER" // where it counts its starts
-	stepVariable   = "ORCHIDDRIFT_SOAK_STEPS"  // the wall clock's steps: "no" for none
+	// seedEnv holds the seed of the soak run.
+	seedEnv = "ORCHIDDRIFT_SOAK_SEED"
+	// folderEnv holds the folder in which the process counts its starts.
+	folderEnv = "ORCHIDDRIFT_SOAK_FOLDER"
+	// clockStepEnv is "no" if the wall clock must not be offset.
+	clockStepEnv = "ORCHIDDRIFT_SOAK_STEPS"
 )
 
-// RunFaultyDispatcher runs a dispatcher on a machine that fails as the variables say. What fails, and when, follows from the seed, the
-// dispatcher's name and how often it was started.
+// RunFaultyDispatcher runs a dispatcher on a host with injected faults. The faults and their times follow from the seed in the
+// environment, the name of the dispatcher and the number of its earlier starts.
 func RunFaultyDispatcher(getenv func(string) string, logs dispatcher.LogOptions) error {
-	start, err := countStart(filepath.Join(getenv(folderVariable), getenv("ROUTER_NAME")+".starts"))
+	start, err := countStart(filepath.Join(getenv(folderEnv), getenv("ROUTER_NAME")+".starts"))
 	if err != nil {
 		return err
 	}
-	seed, err := strconv.ParseUint(getenv(seedVariable), 10, 64)
+	seed, err := strconv.ParseUint(getenv(seedEnv), 10, 64)
 	if err != nil {
-		return fmt.Errorf("%s cannot be %q: give a number", seedVariable, getenv(seedVariable))
+		return fmt.Errorf("%s is %q, but must be a non-negative integer", seedEnv, getenv(seedEnv))
 	}
 	number, _ := strconv.ParseUint(strings.TrimPrefix(getenv("ROUTER_NAME"), "d"), 10, 64)
-	m := newMachine(rand.New(rand.NewPCG(seed, number<<32|uint64(start))), getenv(stepVariable) != "no")
+	injector := newFaultInjector(rand.New(rand.NewPCG(seed, number<<32|uint64(start))), getenv(clockStepEnv) != "no")
 	system := dispatcher.HostSystem(getenv)
 	system.PanicOnViolation = true
-	return dispatcher.RunOn(m.faulty(system), logs)
+	return dispatcher.RunOn(injector.wrap(system), logs)
 }
 
-// countStart tells how often the file was counted before.
+// countStart returns the number of earlier starts that the file records, and adds one.
 func countStart(path string) (int, error) {
-	text, err := os.ReadFile(path)
+	marks, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, err
 	}
-	return len(text), os.WriteFile(path, append(text, '+'), 0o600)
+	return len(marks), os.WriteFile(path, append(marks, '+'), 0o600)
 }
 
-// machine is what fails of a machine, by the time since its process started.
-type machine struct {
-	lock   sync.Mutex
-	chance *rand.Rand
-	begun  time.Time
-	step   time.Duration // of the wall clock
-	disk   []spell       // writes and syncs fail
-	slow   []spell       // writes take their time
-	dials  []spell       // connections cannot be made here
-	opens  int           // so many opens of the folder, reads of the configuration and listens fail
+// faultInjector holds the faults of a process's host, by the time since the start of the process.
+type faultInjector struct {
+	lock          sync.Mutex
+	random        *rand.Rand
+	startedAt     time.Time
+	clockStep     time.Duration // offset of the wall clock
+	diskFaults    []faultWindow // writes and syncs fail
+	slowWrites    []faultWindow // writes are slow
+	dialFaults    []faultWindow // dials fail with a local error
+	startFailures int           // number of further calls to open the folder, read the configuration or listen that fail
 }
 
-// spell is a time in which something fails, from the process's start on.
-type spell struct{ from, until time.Duration }
+// faultWindow is a period with a fault, in time since the start of the process.
+type faultWindow struct{ from, until time.Duration }
 
-// The shapes of spells, in seconds: how far they are apart, and how long they last, in the mean.
+// The frequencies and sizes of the faults.
 const (
-	apart, diskLasts, slowLasts, dialLasts = 6.0, 0.7, 0.4, 0.3
-	horizon                                = 60.0
-	mostStep                               = 3600.0
-	mostOpens                              = 3
-	slowestWrite                           = 10 * time.Millisecond
-	oddAccept                              = 0.03 // of accepts fail
-	oddDial                                = 0.01 // of dials
-	oddRead                                = 0.01
-	oddWrite                               = 0.01 // of requests break off on their way to the endpoint
-	lateDial                               = 0.03 // of connections come up late,
-	latestDial                             = 1200 * time.Millisecond
-	brokenAfter                            = 20 * time.Millisecond
-	splitWrite                             = 0.1
+	// The mean time between two fault windows of a kind and the mean lengths of the windows, in seconds.
+	meanFaultInterval, meanDiskFault, meanSlowWrites, meanDialFault = 6.0, 0.7, 0.4, 0.3
+	// faultHorizon is the time since the start of the process, in seconds, after which no fault window begins.
+	faultHorizon = 60.0
+	// maxClockStep is the largest offset of the wall clock in either direction, in seconds.
+	maxClockStep = 3600.0
+	// startFailureBound is the exclusive upper bound of the number of failures at the start.
+	startFailureBound = 3
+	// maxWriteDelay is the upper bound of the delay of a slow write.
+	maxWriteDelay = 10 * time.Millisecond
+	// acceptFaultShare is the share of accepts that fail.
+	acceptFaultShare = 0.03
+	// dialFaultShare is the share of dials that fail outside of fault windows.
+	dialFaultShare = 0.01
+	// readFaultShare is the share of reads that fail if no data arrives shortly.
+	readFaultShare = 0.01
+	// writeFaultShare is the share of writes after whose first bytes the connection breaks.
+	writeFaultShare = 0.01
+	// slowDialShare is the share of dials that are delayed.
+	slowDialShare = 0.03
+	// maxDialDelay is the upper bound of the delay of a dial.
+	maxDialDelay = 1200 * time.Millisecond
+	// maxReadFaultDelay is the upper bound of the time before a read fails.
+	maxReadFaultDelay = 20 * time.Millisecond
+	// splitWriteShare is the share of writes that are split in two.
+	splitWriteShare = 0.1
 )
 
-func newMachine(chance *rand.Rand, steps bool) *machine {
-	m := &machine{chance: chance, begun: time.Now(), opens: chance.IntN(mostOpens)}
-	if steps && chance.IntN(2) == 0 {
-		m.step = time.Duration((2*chance.Float64() - 1) * mostStep * float64(time.Second))
+// newFaultInjector draws the faults of a process. If stepClock is true, the wall clock of about half of the processes is offset.
+func newFaultInjector(random *rand.Rand, stepClock bool) *faultInjector {
+	in := &faultInjector{random: random, startedAt: time.Now(), startFailures: random.IntN(startFailureBound)}
+	if stepClock && random.IntN(2) == 0 {
+		in.clockStep = time.Duration((2*random.Float64() - 1) * maxClockStep * float64(time.Second))
 	}
-	spells := func(lasts float64) (list []spell) {
-		for at := 0.0; at < horizon; {
-			at += apart * chance.ExpFloat64()
+	drawWindows := func(mean float64) (windows []faultWindow) {
+		for at := 0.0; at < faultHorizon; {
+			at += meanFaultInterval * random.ExpFloat64()
 			from := time.Duration(at * float64(time.Second))
-			at += lasts * chance.ExpFloat64()
-			list = append(list, spell{from, time.Duration(at * float64(time.Second))})
+			at += mean * random.ExpFloat64()
+			windows = append(windows, faultWindow{from, time.Duration(at * float64(time.Second))})
 		}
-		return list
+		return windows
 	}
-	m.disk, m.slow, m.dials = spells(diskLasts), spells(slowLasts), spells(dialLasts)
-	return m
+	in.diskFaults, in.slowWrites, in.dialFaults = drawWindows(meanDiskFault), drawWindows(meanSlowWrites), drawWindows(meanDialFault)
+	return in
 }
 
-func (m *machine) in(spells []spell) bool {
-	at := time.Since(m.begun)
-	for _, s := range spells {
-		if at >= s.from && at < s.until {
+// active reports whether the process is in one of the windows now.
+func (in *faultInjector) active(windows []faultWindow) bool {
+	elapsed := time.Since(in.startedAt)
+	for _, window := range windows {
+		if elapsed >= window.from && elapsed < window.until {
 			return true
 		}
 	}
 	return false
 }
 
-// odds tells whether something of a small chance happens now.
-func (m *machine) odds(p float64) bool {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	return m.chance.Float64() < p
+// occurs draws whether an event of probability p occurs.
+func (in *faultInjector) occurs(p float64) bool {
+	in.lock.Lock()
+	defer in.lock.Unlock()
+	return in.random.Float64() < p
 }
 
-func (m *machine) pick(list ...error) error {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	return list[m.chance.IntN(len(list))]
+// pickError returns a random one of the errors.
+func (in *faultInjector) pickError(errs ...error) error {
+	in.lock.Lock()
+	defer in.lock.Unlock()
+	return errs[in.random.IntN(len(errs))]
 }
 
-func (m *machine) below(n int) int {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	return m.chance.IntN(n)
+// randomBelow returns a random number in [0, n).
+func (in *faultInjector) randomBelow(n int) int {
+	in.lock.Lock()
+	defer in.lock.Unlock()
+	return in.random.IntN(n)
 }
 
-// atStart fails a few times.
-func (m *machine) atStart() error {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	if m.opens--; m.opens >= 0 {
+// startFault returns an error for the first startFailures calls.
+func (in *faultInjector) startFault() error {
+	in.lock.Lock()
+	defer in.lock.Unlock()
+	if in.startFailures--; in.startFailures >= 0 {
 		return &os.PathError{Op: "open", Path: "soak", Err: syscall.EIO}
 	}
 	return nil
 }
 
-// faulty is a system with this machine's faults.
-func (m *machine) faulty(system dispatcher.System) dispatcher.System {
-	good := system
-	system.Clocks.Wall = func() time.Time { return good.Clocks.Wall().Add(m.step) }
+// wrap returns system with the faults of the injector.
+func (in *faultInjector) wrap(system dispatcher.System) dispatcher.System {
+	host := system
+	system.Clocks.Wall = func() time.Time { return host.Clocks.Wall().Add(in.clockStep) }
 	system.ReadFile = func(path string) ([]byte, error) {
-		if err := m.atStart(); err != nil {
+		if err := in.startFault(); err != nil {
 			return nil, err
 		}
-		return good.ReadFile(path)
+		return host.ReadFile(path)
 	}
 	system.OpenFolder = func(path string) (dispatcher.Folder, error) {
-		if err := m.atStart(); err != nil {
+		if err := in.startFault(); err != nil {
 			return nil, err
 		}
-		folder, err := good.OpenFolder(path)
+		folder, err := host.OpenFolder(path)
 		if err != nil {
 			return nil, err
 		}
-		return faultyFolder{folder, m}, nil
+		return faultyFolder{folder, in}, nil
 	}
 	system.Listen = func(address string) (net.Listener, error) {
-		if err := m.atStart(); err != nil {
+		if err := in.startFault(); err != nil {
 			return nil, err
 		}
-		ln, err := good.Listen(address)
+		ln, err := host.Listen(address)
 		if err != nil {
 			return nil, err
 		}
-		return &faultyListener{ln, m}, nil
+		return &faultyListener{ln, in}, nil
 	}
 	system.Dial = func(address string, within time.Duration) (net.Conn, error) {
-		if m.in(m.dials) || m.odds(oddDial) {
-			errno := m.pick(syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM)
+		if in.active(in.dialFaults) || in.occurs(dialFaultShare) {
+			errno := in.pickError(syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM)
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 		}
-		if m.odds(lateDial) {
-			late := time.Duration(m.below(int(latestDial)))
-			time.Sleep(min(late, within))
-			if within -= late; within <= 0 {
+		if in.occurs(slowDialShare) {
+			delay := time.Duration(in.randomBelow(int(maxDialDelay)))
+			time.Sleep(min(delay, within))
+			if within -= delay; within <= 0 {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 			}
 		}
-		conn, err := good.Dial(address, within)
+		conn, err := host.Dial(address, within)
 		if err != nil {
 			return nil, err
 		}
-		return &faultyConn{conn.(*net.TCPConn), m}, nil
+		return &faultyConn{conn.(*net.TCPConn), in}, nil
 	}
 	return system
 }
 
-// faultyFolder is a folder whose writes fail and take their time.
+// faultyFolder is a folder with failing and slow writes.
 type faultyFolder struct {
 	dispatcher.Folder
-	*machine
+	*faultInjector
 }
 
+// Create creates a file, or fails while the disk fails.
 func (f faultyFolder) Create(name string) (disk.File, error) {
-	if f.in(f.disk) {
+	if f.active(f.diskFaults) {
 		return nil, f.diskError("open")
 	}
 	file, err := f.Folder.Create(name)
-	return faultyFile{file, f.machine}, err
+	return faultyFile{file, f.faultInjector}, err
 }
 
+// Open opens a file, also while the disk fails.
 func (f faultyFolder) Open(name string) (disk.File, error) {
 	file, err := f.Folder.Open(name)
-	return faultyFile{file, f.machine}, err
+	return faultyFile{file, f.faultInjector}, err
 }
 
-func (m *machine) diskError(op string) error {
-	return &os.PathError{Op: op, Path: "soak", Err: m.pick(syscall.EIO, syscall.ENOSPC)}
+// diskError returns a random error of a failing disk.
+func (in *faultInjector) diskError(op string) error {
+	return &os.PathError{Op: op, Path: "soak", Err: in.pickError(syscall.EIO, syscall.ENOSPC)}
 }
 
+// faultyFile is a file with failing and slow writes.
 type faultyFile struct {
 	disk.File
-	*machine
+	*faultInjector
 }
 
-// WriteAt writes a part, or nothing, while the disk fails.
+// WriteAt writes b, or only a part of it or nothing while the disk fails.
 func (f faultyFile) WriteAt(b []byte, at int64) (int, error) {
-	if f.in(f.slow) {
-		time.Sleep(time.Duration(f.below(int(slowestWrite))))
+	if f.active(f.slowWrites) {
+		time.Sleep(time.Duration(f.randomBelow(int(maxWriteDelay))))
 	}
-	if !f.in(f.disk) {
+	if !f.active(f.diskFaults) {
 		return f.File.WriteAt(b, at)
 	}
 	n := 0
-	if f.odds(0.5) && len(b) > 0 {
-		n, _ = f.File.WriteAt(b[:f.below(len(b))], at)
+	if f.occurs(0.5) && len(b) > 0 {
+		n, _ = f.File.WriteAt(b[:f.randomBelow(len(b))], at)
 	}
 	return n, f.diskError("write")
 }
 
+// Sync syncs the file, or fails while the disk fails.
 func (f faultyFile) Sync() error {
-	if f.in(f.disk) {
+	if f.active(f.diskFaults) {
 		return f.diskError("sync")
 	}
 	return f.File.Sync()
 }
 
-// faultyListener is a listener whose accepts fail at times.
+// faultyListener is a listener of which some accepts fail.
 type faultyListener struct {
 	net.Listener
-	*machine
+	*faultInjector
 }
 
+// Accept returns the next connection or a random error.
 func (l *faultyListener) Accept() (net.Conn, error) {
-	if l.odds(oddAccept) {
-		errno := l.pick(syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.ENETDOWN,
+	if l.occurs(acceptFaultShare) {
+		errno := l.pickError(syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.ENETDOWN,
 			syscall.EHOSTUNREACH, syscall.EINTR, syscall.EPERM)
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 	}
 	return l.Listener.Accept()
 }
 
-// faultyConn is a connection to an endpoint whose reads are short and at times break it, and whose writes are split.
+// faultyConn is a connection to an endpoint with short reads and split writes. Some reads and writes break it.
 type faultyConn struct {
 	*net.TCPConn
-	*machine
+	*faultInjector
 }
 
+// Read reads a random number of bytes, up to len(b), or breaks the connection and returns an error.
 func (c *faultyConn) Read(b []byte) (int, error) {
-	if c.odds(oddRead) && c.breaks() {
-		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.pick(syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET))}
+	if c.occurs(readFaultShare) && c.breakIfIdle() {
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.pickError(syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET))}
 	}
 	if len(b) > 1 {
-		b = b[:1+c.below(len(b)-1)]
+		b = b[:1+c.randomBelow(len(b)-1)]
 	}
 	return c.TCPConn.Read(b)
 }
 
-// breaks breaks the connection after a moment if nothing has come by then: an answer that is here was written.
-func (c *faultyConn) breaks() bool {
-	time.Sleep(time.Duration(c.below(int(brokenAfter))))
+// breakIfIdle waits for a random time, breaks the connection if no data has arrived by then, and reports whether it did. A
+// connection with data stays open, because the endpoint has already recorded that answer as written.
+func (c *faultyConn) breakIfIdle() bool {
+	time.Sleep(time.Duration(c.randomBelow(int(maxReadFaultDelay))))
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
@@ -292,24 +320,25 @@
 	return true
 }
 
-// cutAt breaks the connection with a request's byte: so many of them have left, and the process knows it.
-func (c *faultyConn) cutAt(b []byte) (int, error) {
-	n, _ := c.TCPConn.Write(b[:c.below(len(b))])
-	if c.odds(0.5) {
+// breakMidWrite writes a part of b, breaks the connection, and returns the number of bytes written with an error.
+func (c *faultyConn) breakMidWrite(b []byte) (int, error) {
+	n, _ := c.TCPConn.Write(b[:c.randomBelow(len(b))])
+	if c.occurs(0.5) {
 		_ = c.SetLinger(0)
 	}
 	_ = c.TCPConn.Close()
-	return n, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.pick(syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT))}
+	return n, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.pickError(syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT))}
 }
 
+// Write writes b, in one or two parts, or breaks the connection.
 func (c *faultyConn) Write(b []byte) (int, error) {
-	if len(b) > 0 && c.odds(oddWrite) {
-		return c.cutAt(b)
+	if len(b) > 0 && c.occurs(writeFaultShare) {
+		return c.breakMidWrite(b)
 	}
-	if len(b) < 2 || !c.odds(splitWrite) {
+	if len(b) < 2 || !c.occurs(splitWriteShare) {
 		return c.TCPConn.Write(b)
 	}
-	first := 1 + c.below(len(b)-1)
+	first := 1 + c.randomBelow(len(b)-1)
 	n, err := c.TCPConn.Write(b[:first])
 	if err != nil {
 		return n, err
--- a/lab/soak/overlaps.go
+++ b/lab/soak/overlaps.go
@@ -10,21 +10,21 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Pair is two kinds of trouble, in the order of their names.
+// Pair is a pair of kinds of faults, in the order of their names.
 type Pair struct{ A, B string }
 
-// Overlaps counts how often two kinds of trouble were on together.
+// Overlaps counts how often two kinds of faults were active at the same time.
 type Overlaps map[Pair]int
 
-// kinds are all that a plan may draw.
-var kinds = []string{scenario.Kill, scenario.Restart, scenario.Stall, scenario.SignalSeries, scenario.ListDown, scenario.ListSlow, scenario.MoveAgent,
+// troubleKinds lists all kinds of faults that a plan may draw.
+var troubleKinds = []string{scenario.Kill, scenario.Restart, scenario.Stall, scenario.SignalSeries, scenario.ListDown, scenario.ListSlow, scenario.MoveAgent,
 	scenario.Drain, scenario.Hang, scenario.RefuseConnections, scenario.RejectAll, scenario.ChangeLimit, scenario.Surge, scenario.FailCalls, scenario.LoseAnswers,
 	scenario.ResetConnections, scenario.BreakReused, scenario.LateAnswers, scenario.TruncateAnswers, scenario.CorruptAnswers, scenario.CloseAfterAnswer}
 
-func pairOf(a, b string) Pair { return Pair{min(a, b), max(a, b)} }
+func newPair(a, b string) Pair { return Pair{min(a, b), max(a, b)} }
 
-// lasts is when a trouble is over, with the time that its processes are down.
-func lasts(t scenario.Trouble) float64 {
+// troubleEnd returns the time at which a fault ends, including the downtime of its processes, in seconds.
+func troubleEnd(t scenario.Trouble) float64 {
 	switch t.Kind {
 	case scenario.Kill, scenario.Restart, scenario.Drain:
 		return t.At + max(t.Duration, t.Wait)
@@ -34,31 +34,31 @@
 	return t.End()
 }
 
-// overlaps counts the pairs of a plan.
-func overlaps(s *scenario.Scenario) Overlaps {
-	all := Overlaps{}
-	for i, a := range s.Troubles {
-		for _, b := range s.Troubles[:i] {
-			if a.At < lasts(b) && b.At < lasts(a) {
-				all[pairOf(a.Kind, b.Kind)]++
+// countOverlaps counts the overlaps in a plan.
+func countOverlaps(plan *scenario.Scenario) Overlaps {
+	counts := Overlaps{}
+	for i, a := range plan.Troubles {
+		for _, b := range plan.Troubles[:i] {
+			if a.At < troubleEnd(b) && b.At < troubleEnd(a) {
+				counts[newPair(a.Kind, b.Kind)]++
 			}
 		}
 	}
-	return all
+	return counts
 }
 
-// Add adds the counts of another plan.
+// Add adds the counts of other.
 func (o Overlaps) Add(other Overlaps) {
 	for pair, n := range other {
 		o[pair] += n
 	}
 }
 
-// Missing lists the pairs that were not on together, of all that a plan may draw.
+// Missing lists the pairs of kinds that a plan may draw and that were never active at the same time.
 func (o Overlaps) Missing() (list []string) {
-	for i, a := range kinds {
-		for _, b := range kinds[:i+1] {
-			if pair := pairOf(a, b); o[pair] == 0 && a != scenario.MoveAgent {
+	for i, a := range troubleKinds {
+		for _, b := range troubleKinds[:i+1] {
+			if pair := newPair(a, b); o[pair] == 0 && a != scenario.MoveAgent {
 				list = append(list, pair.A+" with "+pair.B)
 			}
 		}
@@ -67,7 +67,7 @@
 	return list
 }
 
-// String lists the pairs that were, the rarest first.
+// String lists the pairs that were active at the same time with their counts, the rarest first.
 func (o Overlaps) String() string {
 	pairs := slices.SortedFunc(maps.Keys(o), func(a, b Pair) int {
 		return cmp.Or(cmp.Compare(o[a], o[b]), strings.Compare(a.A, b.A), strings.Compare(a.B, b.B))
@@ -79,8 +79,8 @@
 	return strings.Join(texts, ", ")
 }
 
-// endpoints counts those listed at the start.
-func endpoints(s *scenario.Scenario) int {
+// countEndpoints returns the number of endpoints that are listed at the start.
+func countEndpoints(s *scenario.Scenario) int {
 	n := 0
 	for _, g := range s.Groups {
 		n += g.Count * g.Endpoints
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -11,63 +11,71 @@
 	"orchiddrift/lab/load"
 )
 
-// proxy stands between the clients and a dispatcher. It passes on what both sides send, in pieces, late or together, and
-// cuts connections at any byte on their way to the dispatcher.
+// proxy is a TCP proxy between the clients and a dispatcher. It forwards the bytes of some connections in small chunks or with
+// a delay, and cuts some connections at any byte on the way to the dispatcher.
 type proxy struct {
-	addr   string // of the dispatcher
-	ln     net.Listener
-	lock   sync.Mutex
-	chance *rand.Rand
-	done   sync.WaitGroup
-	stop   context.Context
+	upstream string // address of the dispatcher
+	listener net.Listener
+	lock     sync.Mutex
+	random   *rand.Rand
+	done     sync.WaitGroup
+	ctx      context.Context
 }
 
-// fate is what a proxy does with a connection.
-type fate struct {
-	cut   int  // after so many bytes from the client; 0: never
-	reset bool // and how
-	piece int  // bytes passed on at a time; 0: as they come
-	late  time.Duration
+// connFaults holds the faults of a proxied connection.
+type connFaults struct {
+	cutAfter  int           // number of bytes from the client after which the connection is cut; 0: never
+	reset     bool          // whether the cut resets the connection instead of closing it
+	chunkSize int           // maximum number of bytes forwarded at a time; 0: no limit
+	delay     time.Duration // delay before each chunk from the client
 }
 
+// The shares and sizes of the faults.
 const (
-	cutShare, pieceShare, lateShare = 0.04, 0.15, 0.15
-	mostCut                         = 900
-	mostPiece                       = 80
-	mostLate                        = 60 * time.Millisecond
+	// The shares of connections that are cut, forwarded in small chunks, or delayed.
+	connCutShare, rechunkShare, delayShare = 0.04, 0.15, 0.15
+	// maxCutAfter is the largest number of bytes before a cut.
+	maxCutAfter = 900
+	// maxChunkSize is the largest size of small chunks, in bytes.
+	maxChunkSize = 80
+	// maxDelay is the upper bound of the delay.
+	maxDelay = 60 * time.Millisecond
 )
 
-func newProxy(stop context.Context, listen, addr string, chance *rand.Rand) (*proxy, error) {
+// newProxy starts a proxy that listens on the address listen and forwards to upstream until ctx is done.
+func newProxy(ctx context.Context, listen, upstream string, random *rand.Rand) (*proxy, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{addr: addr, ln: ln, chance: chance, stop: stop}
+	p := &proxy{upstream: upstream, listener: ln, random: random, ctx: ctx}
 	p.done.Go(p.serve)
-	context.AfterFunc(stop, func() { _ = ln.Close() })
+	context.AfterFunc(ctx, func() { _ = ln.Close() })
 	return p, nil
 }
 
-func (p *proxy) fate() fate {
+// drawFaults draws the faults of a new connection.
+func (p *proxy) drawFaults() connFaults {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	var f fate
-	if p.chance.Float64() < cutShare {
-		f.cut, f.reset = 1+p.chance.IntN(mostCut), p.chance.IntN(2) == 0
+	var faults connFaults
+	if p.random.Float64() < connCutShare {
+		faults.cutAfter, faults.reset = 1+p.random.IntN(maxCutAfter), p.random.IntN(2) == 0
 	}
-	if p.chance.Float64() < pieceShare {
-		f.piece = 1 + p.chance.IntN(mostPiece)
+	if p.random.Float64() < rechunkShare {
+		faults.chunkSize = 1 + p.random.IntN(maxChunkSize)
 	}
-	if p.chance.Float64() < lateShare {
-		f.late = time.Duration(p.chance.Int64N(int64(mostLate)))
+	if p.random.Float64() < delayShare {
+		faults.delay = time.Duration(p.random.Int64N(int64(maxDelay)))
 	}
-	return f
+	return faults
 }
 
+// serve accepts connections until the proxy ends.
 func (p *proxy) serve() {
 	for {
-		conn, err := p.ln.Accept()
-		if p.stop.Err() != nil {
+		conn, err := p.listener.Accept()
+		if p.ctx.Err() != nil {
 			return
 		}
 		if err != nil {
@@ -78,61 +86,62 @@
 	}
 }
 
-// relay passes on between a client and the dispatcher until both have ended, one has broken, or the soak is over. Where the
-// dispatcher takes no connection the client's is reset at once, as its own would be refused.
+// relay forwards bytes between a client and the dispatcher until both directions have ended, one has broken, or the proxy
+// ends. If the dispatcher accepts no connection, it resets that of the client at once, since a direct connection would have
+// been refused.
 func (p *proxy) relay(client *net.TCPConn) {
 	defer client.Close()
-	up, err := net.DialTimeout("tcp", p.addr, time.Second)
+	conn, err := net.DialTimeout("tcp", p.upstream, time.Second)
 	if err != nil {
 		_ = client.SetLinger(0)
 		return
 	}
-	server := up.(*net.TCPConn)
+	server := conn.(*net.TCPConn)
 	defer server.Close()
-	release := context.AfterFunc(p.stop, func() { _ = client.Close(); _ = server.Close() })
+	release := context.AfterFunc(p.ctx, func() { _ = client.Close(); _ = server.Close() })
 	defer release()
-	f := p.fate()
-	back := make(chan struct{})
+	faults := p.drawFaults()
+	answersDone := make(chan struct{})
 	go func() {
-		defer close(back)
-		if broken := pass(client, server, fate{piece: f.piece}); broken {
+		defer close(answersDone)
+		if broken := forward(client, server, connFaults{chunkSize: faults.chunkSize}); broken {
 			_ = client.SetLinger(0)
 			_ = client.Close()
 		}
 	}()
-	if broken := pass(server, client, f); broken {
+	if broken := forward(server, client, faults); broken {
 		_ = server.SetLinger(0)
 		_ = server.Close()
 		_ = client.Close()
 	}
-	<-back
+	<-answersDone
 }
 
-// pass passes bytes on until their end, which it passes on too, and tells whether the connection broke in the place of it.
-func pass(to, from *net.TCPConn, f fate) (broken bool) {
-	buffer, passed := make([]byte, 16<<10), 0
+// forward copies bytes in one direction and forwards their end. It reports whether the connection broke instead.
+func forward(to, from *net.TCPConn, faults connFaults) (broken bool) {
+	buffer, forwarded := make([]byte, 16<<10), 0
 	for {
 		n, err := from.Read(buffer)
-		if f.late > 0 && n > 0 {
-			time.Sleep(f.late) // what comes meanwhile goes together
+		if faults.delay > 0 && n > 0 {
+			time.Sleep(faults.delay) // bytes that arrive meanwhile are read together
 		}
-		for b := buffer[:n]; len(b) > 0; {
-			piece := len(b)
-			if f.piece > 0 {
-				piece = min(piece, f.piece)
+		for pending := buffer[:n]; len(pending) > 0; {
+			chunk := len(pending)
+			if faults.chunkSize > 0 {
+				chunk = min(chunk, faults.chunkSize)
 			}
-			if f.cut > 0 && passed+piece >= f.cut {
-				_, _ = to.Write(b[:f.cut-passed])
-				if f.reset {
+			if faults.cutAfter > 0 && forwarded+chunk >= faults.cutAfter {
+				_, _ = to.Write(pending[:faults.cutAfter-forwarded])
+				if faults.reset {
 					return true
 				}
 				_ = to.CloseWrite()
 				return false
 			}
-			if _, err := to.Write(b[:piece]); err != nil {
+			if _, err := to.Write(pending[:chunk]); err != nil {
 				return true
 			}
-			if passed, b = passed+piece, b[piece:]; len(b) > 0 && f.piece > 0 {
+			if forwarded, pending = forwarded+chunk, pending[chunk:]; len(pending) > 0 && faults.chunkSize > 0 {
 				time.Sleep(time.Millisecond / 2)
 			}
 		}
@@ -145,21 +154,22 @@
 	}
 }
 
-// front sends clients through the proxies.
-type front struct {
+// proxyBalancer directs the load through the proxies.
+type proxyBalancer struct {
 	load.Balancer
-	proxies []*proxy
-	leaving *leaving
+	proxies     []*proxy
+	terminating *terminatingPicker
 }
 
-// Choose picks a dispatcher, and gives its proxy's address.
-func (f front) Choose(client int, key string, dest, try int) (load.Target, bool) {
-	t, ok := f.Balancer.Choose(client, key, dest, try)
-	if d, is := f.leaving.choose(); ok && is && key == "" {
-		t.Dispatcher = d
+// Choose returns the dispatcher for a hand-in, with the address of its proxy. A share of the hand-ins without a key goes to
+// terminating dispatchers.
+func (b proxyBalancer) Choose(client int, key string, dest, try int) (load.Target, bool) {
+	target, ok := b.Balancer.Choose(client, key, dest, try)
+	if dispatcher, found := b.terminating.pick(); ok && found && key == "" {
+		target.Dispatcher = dispatcher
 	}
 	if ok {
-		t.Addr = f.proxies[t.Dispatcher].ln.Addr().String()
+		target.Addr = b.proxies[target.Dispatcher].listener.Addr().String()
 	}
-	return t, ok
+	return target, ok
 }
--- a/lab/soak/rude.go
+++ b/lab/soak/rude.go
@@ -13,114 +13,122 @@
 	"time"
 )
 
-// rude are clients that misbehave beside the load: halves of requests, silence, many requests at once, noise. They note
-// those that are not rid of in time, and answers that are missing.
-type rude struct {
-	addr   func(i int) string
-	count  int
-	up     func(i int, from, to time.Time) bool // a dispatcher served all the while
-	chance *rand.Rand
-	lock   sync.Mutex
-	found  []string
-	tried  int
+// misbehavingClients simulates clients that misbehave during the load: they send incomplete requests, nothing, pipelined
+// requests or invalid bytes. It records connections that the dispatcher does not close in time, and missing answers.
+type misbehavingClients struct {
+	addr            func(i int) string // address of a dispatcher
+	dispatcherCount int
+	ready           func(i int, from, to time.Time) bool // reports whether a dispatcher was ready all the time
+	random          *rand.Rand
+	lock            sync.Mutex
+	findings        []string
+	visits          int // visits that were checked
 }
 
+// The timing and size of the visits.
 const (
-	ridWithin = 3500 * time.Millisecond // the operators' 3 s, and some for a busy machine
-	between   = 40 * time.Millisecond
-	pipelined = 3
+	// closeDeadline is the time within which a dispatcher must close a connection: 3 s as required, and 0.5 s for a busy host.
+	closeDeadline = 3500 * time.Millisecond
+	// visitInterval is the time between two visits.
+	visitInterval = 40 * time.Millisecond
+	// pipelinedRequests is the number of pipelined requests.
+	pipelinedRequests = 3
 )
 
-const health = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
+// healthRequest is a request that a dispatcher answers at once.
+const healthRequest = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 
-const whole = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: rude-%d\r\nX-Call-Class: nothing\r\nX-Budget: 100m\r\nX-Addressing: dest=0\r\n" +
+// handInRequest is the format of a complete hand-in, with a number for its id.
+const handInRequest = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: rude-%d\r\nX-Call-Class: nothing\r\nX-Budget: 100m\r\nX-Addressing: dest=0\r\n" +
 	"Content-Length: 5\r\n\r\nhello"
 
-// run misbehaves until the soak is over.
-func (r *rude) run(ctx context.Context) {
-	var all sync.WaitGroup
+// run starts visits until ctx is done, and waits for them to end.
+func (c *misbehavingClients) run(ctx context.Context) {
+	var visits sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
-		i, kind, cut := r.chance.IntN(r.count), r.chance.IntN(4), 1+r.chance.IntN(len(whole)-8)
-		all.Go(func() { r.one(ctx, n, i, kind, cut) })
+		dispatcher, kind, cut := c.random.IntN(c.dispatcherCount), c.random.IntN(4), 1+c.random.IntN(len(handInRequest)-8)
+		visits.Go(func() { c.visit(ctx, n, dispatcher, kind, cut) })
 		select {
 		case <-ctx.Done():
-		case <-time.After(between):
+		case <-time.After(visitInterval):
 		}
 	}
-	all.Wait()
+	visits.Wait()
 }
 
-// one is one client's visit.
-func (r *rude) one(ctx context.Context, n, i, kind, cut int) {
-	begun := time.Now()
-	conn, err := net.DialTimeout("tcp", r.addr(i), time.Second)
+// visit runs one client. It connects to a dispatcher, misbehaves in the given way, and records a finding if the dispatcher was
+// ready all the time but did not close the connection or answer.
+func (c *misbehavingClients) visit(ctx context.Context, n, dispatcher, kind, cut int) {
+	startedAt := time.Now()
+	conn, err := net.DialTimeout("tcp", c.addr(dispatcher), time.Second)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	release := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer release()
-	text := fmt.Sprintf(whole, n)
-	fail := ""
-	_ = conn.SetDeadline(begun.Add(ridWithin))
+	request := fmt.Sprintf(handInRequest, n)
+	failure := ""
+	_ = conn.SetDeadline(startedAt.Add(closeDeadline))
 	switch kind {
-	case 0: // half a request, and it stays
-		_, _ = io.WriteString(conn, text[:cut])
+	case 0: // an incomplete request
+		_, _ = io.WriteString(conn, request[:cut])
 		if _, err := io.Copy(io.Discard, conn); isTimeout(err) {
-			fail = fmt.Sprintf("a client that sent %d bytes of a request stays for over %v", cut, ridWithin)
+			failure = fmt.Sprintf("connection with %d bytes of a request still open after %v", cut, closeDeadline)
 		}
-	case 1: // silence
+	case 1: // no bytes
 		if _, err := io.Copy(io.Discard, conn); isTimeout(err) {
-			fail = fmt.Sprintf("a client that says nothing stays for over %v", ridWithin)
+			failure = fmt.Sprintf("connection without a request still open after %v", closeDeadline)
 		}
-	case 2: // many at once: those up to the one that closes the connection are answered
-		if fail = many(conn); fail == unreadFirst { // it crossed the end of a connection that nothing was read of: once more
-			again, err := net.DialTimeout("tcp", r.addr(i), time.Second)
+	case 2: // pipelined requests, which are answered up to the answer that closes the connection
+		if failure = sendPipelined(conn); failure == firstUnanswered { // the dispatcher may have closed an unread connection meanwhile: try once more
+			retry, err := net.DialTimeout("tcp", c.addr(dispatcher), time.Second)
 			if err != nil {
 				return
 			}
-			defer again.Close()
-			_ = again.SetDeadline(time.Now().Add(ridWithin))
-			fail = many(again)
+			defer retry.Close()
+			_ = retry.SetDeadline(time.Now().Add(closeDeadline))
+			failure = sendPipelined(retry)
 		}
-	default: // noise, answered or closed
-		_, _ = io.WriteString(conn, "\x16\x03\x01 what\r\n\r\n"+text[:cut/2])
+	default: // invalid bytes, which get an answer or a closed connection
+		_, _ = io.WriteString(conn, "\x16\x03\x01 what\r\n\r\n"+request[:cut/2])
 		if _, err := io.Copy(io.Discard, conn); isTimeout(err) {
-			fail = fmt.Sprintf("a client that sent noise stays for over %v", ridWithin)
+			failure = fmt.Sprintf("connection with invalid bytes still open after %v", closeDeadline)
 		}
 	}
-	if ctx.Err() != nil || !r.up(i, begun, time.Now()) {
+	if ctx.Err() != nil || !c.ready(dispatcher, startedAt, time.Now()) {
 		return
 	}
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	if r.tried++; fail != "" {
-		r.found = append(r.found, fmt.Sprintf("clients: dispatcher %d: %s", i, fail))
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.visits++; failure != "" {
+		c.findings = append(c.findings, fmt.Sprintf("clients: dispatcher %d: %s", dispatcher, failure))
 	}
 }
 
-// unreadFirst tells that a connection ended before its first answer.
-const unreadFirst = "the first of the requests sent at once got no answer"
+// firstUnanswered is the failure of a connection that ended before its first answer.
+const firstUnanswered = "the first pipelined request got no answer"
 
-// many sends requests at once and tells what is wrong with the answers.
-func many(conn net.Conn) string {
-	_, _ = io.WriteString(conn, strings.Repeat(health, pipelined))
-	in := bufio.NewReader(conn)
-	for k := range pipelined {
-		resp, err := http.ReadResponse(in, nil)
+// sendPipelined sends pipelined requests and returns what is wrong with the answers, or "".
+func sendPipelined(conn net.Conn) string {
+	_, _ = io.WriteString(conn, strings.Repeat(healthRequest, pipelinedRequests))
+	reader := bufio.NewReader(conn)
+	for k := range pipelinedRequests {
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil && k == 0 {
-			return unreadFirst
+			return firstUnanswered
 		}
 		if err != nil {
-			return fmt.Sprintf("request %d of %d sent at once: %v", k+1, pipelined, err)
+			return fmt.Sprintf("pipelined request %d of %d: %v", k+1, pipelinedRequests, err)
 		}
 		if _, err = io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
-			return map[bool]string{false: fmt.Sprintf("closed behind answer %d of %d", k+1, pipelined)}[k == pipelined-1]
+			return map[bool]string{false: fmt.Sprintf("connection closed after answer %d of %d", k+1, pipelinedRequests)}[k == pipelinedRequests-1]
 		}
 	}
 	return ""
 }
 
+// isTimeout reports whether err is a network time-out.
 func isTimeout(err error) bool {
 	e, ok := err.(net.Error)
 	return ok && e.Timeout()
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak plays random troubles against real dispatchers on loopback: partners, discovery, clients, signals, and
-// machines that fail, several at once, all from one seed. The laboratory's rules judge what was seen from outside, and the
-// dispatchers' own invariants what they saw themselves.
+// Package soak runs real dispatchers on loopback under random faults of partners, discovery, clients, processes and hosts.
+// Several faults are active at once, and all follow from one seed. The rules of the laboratory check what was recorded
+// outside the dispatchers, and the dispatchers log violations of their own invariants.
 package soak
 
 import (
@@ -24,35 +24,36 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Options say how a soak is played.
+// Options holds the settings of a soak run.
 type Options struct {
-	Command    fleet.Command // starts a dispatcher on a machine that fails: Child
-	KeepDir    string        // a folder for what was seen; "" to throw it away
-	StepClocks bool          // wall clocks are stepped
+	Command    fleet.Command // starts a dispatcher process that calls RunFaultyDispatcher
+	KeepDir    string        // folder that keeps the journal and the logs; "" for a temporary one
+	StepClocks bool          // whether the wall clocks of some processes are offset
 }
 
-// Result is what a seed showed.
+// Result is the result of a soak run with one seed.
 type Result struct {
 	Seed               uint64
-	DispatcherCount    int      // how many there were
-	Troubles           []string // what was played, in its order
-	Findings           []string // what was broken; none where all was kept
-	MisbehavingClients int      // visits of clients that misbehave, judged
-	Overlaps           Overlaps // which troubles were on together
-	EndpointCount      int      // listed
-	Flooded            bool     // idle clients filled the descriptors of some dispatchers
-	UnplannedStalls    []string // stalls that nobody played: the machine was too busy for a verdict
+	DispatcherCount    int
+	Troubles           []string // the planned faults, in the order in which they were drawn
+	Findings           []string // violations of rules and invariants, crashes, slow starts, wrong answers to misbehaving clients
+	MisbehavingClients int      // checked visits of misbehaving clients
+	Overlaps           Overlaps // which kinds of faults were active together
+	EndpointCount      int      // endpoints listed at the start
+	Flooded            bool     // whether idle connections exhausted the file descriptors of some dispatchers
+	UnplannedStalls    []string // stalls that were not planned: the host was too busy for the findings to count
 	*report.Result
 }
 
-// Run plays a seed for so many seconds of load.
-func Run(ctx context.Context, seed uint64, length float64, o Options) (*Result, error) {
-	planned, err := plan(seed, length)
+// Run runs the plan of a seed with length seconds of load. A finding is no error: the error reports that the run itself
+// failed or that a log could not be read.
+func Run(ctx context.Context, seed uint64, length float64, options Options) (*Result, error) {
+	plan, err := newPlan(seed, length)
 	if err != nil {
 		return nil, err
 	}
-	s := planned.Scenario
-	dir := o.KeepDir
+	s := plan.Scenario
+	dir := options.KeepDir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "orchiddrift-soak-"); err != nil {
 			return nil, err
@@ -61,104 +62,107 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	steps := "no"
-	if o.StepClocks {
-		steps = "yes"
+	stepClocks := "no"
+	if options.StepClocks {
+		stepClocks = "yes"
 	}
-	command := o.Command
-	command.Env = append(append([]string{}, command.Env...), fmt.Sprint(seedVariable, "=", seed), folderVariable+"="+dir,
-		stepVariable+"="+steps)
-	b := &beside{seed: seed, count: s.Dispatchers.Count, crowded: planned.FloodedDispatchers}
-	a := &answers{chance: chanceOf(seed, forAnswers)}
-	r, j, err := lab.Run(ctx, s, lab.Options{Command: command, KeepDir: dir, AnswerShape: a.shape, Hooks: b})
+	command := options.Command
+	command.Env = append(append([]string{}, command.Env...), fmt.Sprint(seedEnv, "=", seed), folderEnv+"="+dir,
+		clockStepEnv+"="+stepClocks)
+	hooks := &soakHooks{seed: seed, dispatcherCount: s.Dispatchers.Count, flooded: plan.FloodedDispatchers}
+	shaper := &responseShaper{random: newRand(seed, answerStream)}
+	runResult, journal, err := lab.Run(ctx, s, lab.Options{Command: command, KeepDir: dir, AnswerShape: shaper.encode, Hooks: hooks})
 	if err != nil {
 		return nil, err
 	}
-	result := &Result{Seed: seed, DispatcherCount: s.Dispatchers.Count, Result: r, MisbehavingClients: b.rude.tried}
+	result := &Result{Seed: seed, DispatcherCount: s.Dispatchers.Count, Result: runResult, MisbehavingClients: hooks.clients.visits}
 	for _, t := range s.Troubles {
-		result.Troubles = append(result.Troubles, describe(t))
+		result.Troubles = append(result.Troubles, describeTrouble(t))
 	}
-	result.Overlaps = overlaps(s)
-	result.EndpointCount = endpoints(s)
-	result.Flooded = len(planned.FloodedDispatchers) > 0
-	for _, v := range r.Violations {
+	result.Overlaps = countOverlaps(s)
+	result.EndpointCount = countEndpoints(s)
+	result.Flooded = len(plan.FloodedDispatchers) > 0
+	for _, v := range runResult.Violations {
 		result.Findings = append(result.Findings, v.String())
 	}
-	result.Findings = append(result.Findings, b.rude.found...)
-	result.Findings = append(result.Findings, starts(j)...)
-	found, stalls, err := said(dir, s.Dispatchers.Count)
-	result.Findings = append(result.Findings, found...)
-	result.UnplannedStalls = unplayed(stalls, s)
+	result.Findings = append(result.Findings, hooks.clients.findings...)
+	result.Findings = append(result.Findings, slowStarts(journal)...)
+	logFindings, stalls, err := readLogs(dir, s.Dispatchers.Count)
+	result.Findings = append(result.Findings, logFindings...)
+	result.UnplannedStalls = unplannedStalls(stalls, s)
 	return result, err
 }
 
-func chanceOf(seed, purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, purpose)) }
+// newRand returns the random number generator of a seed for one purpose, one of the stream constants.
+func newRand(seed, purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, purpose)) }
 
-func describe(t scenario.Trouble) string {
-	text := fmt.Sprintf("%6.2f s  %-9s for %.2f", t.At, t.Kind, t.Duration)
-	if len(t.Dispatchers) > 0 {
-		text += fmt.Sprintf(" dispatchers %v", t.Dispatchers)
+// describeTrouble describes a planned fault in one line; times are in seconds.
+func describeTrouble(trouble scenario.Trouble) string {
+	text := fmt.Sprintf("%6.2f s  %-9s for %.2f", trouble.At, trouble.Kind, trouble.Duration)
+	if len(trouble.Dispatchers) > 0 {
+		text += fmt.Sprintf(" dispatchers %v", trouble.Dispatchers)
 	}
-	if len(t.Destinations) > 0 {
-		text += fmt.Sprintf(" destinations %v", t.Destinations)
+	if len(trouble.Destinations) > 0 {
+		text += fmt.Sprintf(" destinations %v", trouble.Destinations)
 	}
 	return text
 }
 
-// readyBy is how long nine in ten restarts may take.
-const readyBy = 10.0
+// maxStartTime is the time, in seconds, within which at least nine in ten starts must get ready.
+const maxStartTime = 10.0
 
-// starts judges how soon dispatchers were ready.
-func starts(j *record.Journal) []string {
-	begun, late, all := map[int]float64{}, 0, 0
+// slowStarts returns a finding if more than one in ten starts took longer than maxStartTime.
+func slowStarts(j *record.Journal) []string {
+	startedAt, late, total := map[int]float64{}, 0, 0
 	j.WithLock(func() {
-		for _, l := range j.ProcessEvents {
-			switch l.Kind {
+		for _, event := range j.ProcessEvents {
+			switch event.Kind {
 			case record.Started:
-				begun[l.Dispatcher] = l.At
+				startedAt[event.Dispatcher] = event.At
 			case record.Ready:
-				if all++; l.At > begun[l.Dispatcher]+readyBy {
+				if total++; event.At > startedAt[event.Dispatcher]+maxStartTime {
 					late++
 				}
 			}
 		}
 	})
-	if late*10 > all {
-		return []string{fmt.Sprintf("starts: %d of %d took over %.0f s", late, all, readyBy)}
+	if late*10 > total {
+		return []string{fmt.Sprintf("starts: %d of %d took over %.0f s", late, total, maxStartTime)}
 	}
 	return nil
 }
 
-// starving is a stall, in seconds, from which on a run says more of the machine than of the dispatchers.
-const starving = 0.3
+// maxUnplannedStall is the longest unplanned stall of a dispatcher, in seconds, up to which findings count. With longer ones
+// the host is overloaded, and a run says more about it than about the dispatchers.
+const maxUnplannedStall = 0.3
 
-// unplayed tells of long stalls of dispatchers that the plan let run on.
-func unplayed(stalls map[int]float64, s *scenario.Scenario) (list []string) {
+// unplannedStalls describes the long stalls of dispatchers that the plan did not stop.
+func unplannedStalls(stalls map[int]float64, s *scenario.Scenario) (unplanned []string) {
 	for i := range s.Dispatchers.Count {
-		played := slices.ContainsFunc(s.Troubles, func(t scenario.Trouble) bool {
+		planned := slices.ContainsFunc(s.Troubles, func(t scenario.Trouble) bool {
 			return (t.Kind == scenario.Stall || t.Kind == scenario.SignalSeries) && t.AppliesToDispatcher(i)
 		})
-		if stalls[i] > starving && !played {
-			list = append(list, fmt.Sprintf("dispatcher %d stood still for %.2f s", i, stalls[i]))
+		if stalls[i] > maxUnplannedStall && !planned {
+			unplanned = append(unplanned, fmt.Sprintf("dispatcher %d stalled for %.2f s", i, stalls[i]))
 		}
 	}
-	return list
+	return unplanned
 }
 
-// said reads what dispatchers logged of themselves: violated invariants, the ends of processes that failed, and the longest
-// stall of each.
-func said(dir string, count int) (found []string, stalls map[int]float64, err error) {
-	const most = 1 << 20
+// readLogs reads the logs of the dispatchers. It returns the violated invariants and the crashes as findings, and the longest
+// stall of each dispatcher in seconds.
+func readLogs(dir string, count int) (findings []string, stalls map[int]float64, err error) {
+	const maxLine = 1 << 20 // bytes
 	stalls = map[int]float64{}
 	for i := range count {
 		f, err := os.Open(filepath.Join(dir, fmt.Sprintf("d%d.log", i)))
 		if err != nil {
-			return found, stalls, err
+			return findings, stalls, err
 		}
-		in := bufio.NewScanner(f)
-		in.Buffer(nil, most)
-		for in.Scan() {
-			line := in.Text()
+		scanner := bufio.NewScanner(f)
+		scanner.Buffer(nil, maxLine)
+		for scanner.Scan() {
+			line := scanner.Text()
 			var entry struct {
 				Message, Invariant, Ntf, Detail string
 				Late                            float64
@@ -166,82 +170,85 @@
 			if json.Unmarshal([]byte(line), &entry) == nil {
 				stalls[i] = max(stalls[i], entry.Late)
 				if entry.Invariant != "" {
-					found = append(found, fmt.Sprintf("invariant: dispatcher %d: %s %s: %s", i, entry.Invariant, entry.Ntf, entry.Detail))
+					findings = append(findings, fmt.Sprintf("invariant: dispatcher %d: %s %s: %s", i, entry.Invariant, entry.Ntf, entry.Detail))
 				}
 			} else if strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
-				found = append(found, fmt.Sprintf("crash: dispatcher %d: %s", i, line))
+				findings = append(findings, fmt.Sprintf("crash: dispatcher %d: %s", i, line))
 			}
 		}
 		_ = f.Close()
-		if err := in.Err(); err != nil {
-			return found, stalls, err
+		if err := scanner.Err(); err != nil {
+			return findings, stalls, err
 		}
 	}
-	return found, stalls, nil
+	return findings, stalls, nil
 }
 
-// beside is what the soak adds to a run: proxies before the dispatchers, and clients that misbehave.
-type beside struct {
-	seed  uint64
-	count int
-	rude  rude
-	over  context.CancelFunc
-	ended chan struct{}
-	all   []*proxy
-	// crowded are the dispatchers that a crowd comes to: misbehaving clients are not judged there, whose connections may be shut
-	// unread then.
-	crowded []int
+// soakHooks adds to a laboratory run the proxies in front of the dispatchers, the floods of idle connections and the
+// misbehaving clients.
+type soakHooks struct {
+	seed            uint64
+	dispatcherCount int
+	clients         misbehavingClients
+	stop            context.CancelFunc
+	clientsDone     chan struct{}
+	proxies         []*proxy
+	// flooded lists the dispatchers that get floods of idle connections. The answers that misbehaving clients get there are not
+	// checked, because such a dispatcher may close connections before it reads from them.
+	flooded []int
 }
 
-// BeforeLoad opens the proxies and lets the clients come.
-func (b *beside) BeforeLoad(ctx context.Context, n loop.Network, j *record.Journal, c *loop.Clock, to load.Balancer) (load.Balancer, error) {
-	ctx, b.over = context.WithCancel(ctx)
-	for i := range b.count {
-		p, err := newProxy(ctx, n.ProxyAddr(i), n.DispatcherAddr(i), chanceOf(b.seed, forProxies<<32|uint64(i)))
+// BeforeLoad starts the proxies, the floods and the misbehaving clients, and returns a balancer that sends the load through
+// the proxies.
+func (h *soakHooks) BeforeLoad(ctx context.Context, network loop.Network, journal *record.Journal, clock *loop.Clock, balancer load.Balancer) (load.Balancer, error) {
+	ctx, h.stop = context.WithCancel(ctx)
+	for i := range h.dispatcherCount {
+		p, err := newProxy(ctx, network.ProxyAddr(i), network.DispatcherAddr(i), newRand(h.seed, proxyStream<<32|uint64(i)))
 		if err != nil {
-			b.over()
+			h.stop()
 			return nil, fmt.Errorf("proxy: %w", err)
 		}
-		b.all = append(b.all, p)
+		h.proxies = append(h.proxies, p)
 	}
-	up := func(i int, from, to time.Time) bool {
-		return !slices.Contains(b.crowded, i) && served(j, i, c.Now()-time.Since(from).Seconds(), c.Now()-time.Since(to).Seconds())
+	ready := func(i int, from, to time.Time) bool {
+		return !slices.Contains(h.flooded, i) && readyThroughout(journal, i, clock.Now()-time.Since(from).Seconds(), clock.Now()-time.Since(to).Seconds())
 	}
-	for _, i := range b.crowded {
-		go crowd(ctx, n.DispatcherAddr(i))
+	for _, i := range h.flooded {
+		go floodConnections(ctx, network.DispatcherAddr(i))
 	}
-	b.rude = rude{addr: n.DispatcherAddr, count: b.count, up: up, chance: chanceOf(b.seed, forClients)}
-	b.ended = make(chan struct{})
+	h.clients = misbehavingClients{addr: network.DispatcherAddr, dispatcherCount: h.dispatcherCount, ready: ready, random: newRand(h.seed, clientStream)}
+	h.clientsDone = make(chan struct{})
 	go func() {
-		b.rude.run(ctx)
-		close(b.ended)
+		h.clients.run(ctx)
+		close(h.clientsDone)
 	}()
-	return front{to, b.all, newLeaving(j, b.seed)}, nil
+	return proxyBalancer{balancer, h.proxies, newTerminatingPicker(journal, h.seed)}, nil
 }
 
-// AfterLoad ends both.
-func (b *beside) AfterLoad() {
-	b.over()
-	<-b.ended
-	for _, p := range b.all {
+// AfterLoad stops the proxies, the floods and the misbehaving clients, and waits for the proxies and the clients to end.
+func (h *soakHooks) AfterLoad() {
+	h.stop()
+	<-h.clientsDone
+	for _, p := range h.proxies {
 		p.done.Wait()
 	}
 }
 
-// served tells whether a dispatcher was ready, and nothing befell it, from a moment to another.
-func served(j *record.Journal, dispatcher int, from, to float64) bool {
-	const settled = 0.5
+// readyThroughout reports whether a dispatcher was ready from one time to another, without any event of its process between
+// them or in the settleTime before them.
+func readyThroughout(j *record.Journal, dispatcher int, from, to float64) bool {
+	const settleTime = 0.5 // seconds
 	ready := false
 	j.WithLock(func() {
-		for _, l := range j.ProcessEvents {
-			if l.Dispatcher != dispatcher || l.At > to {
+		for _, event := range j.ProcessEvents {
+			if event.Dispatcher != dispatcher || event.At > to {
 				continue
 			}
-			if l.At > from-settled && l.At > 0 {
+			if event.At > from-settleTime && event.At > 0 {
 				ready = false
 				return
 			}
-			ready = l.Kind == record.Ready || l.Kind == record.Resumed
+			ready = event.Kind == record.Ready || event.Kind == record.Resumed
 		}
 	})
 	return ready
