--- a/lab/modelcheck/judge.go
+++ b/lab/modelcheck/judge.go
@@ -26,7 +26,7 @@
 	ordered    bool
 }
 
-// messageRecord holds what was seen of one message.
+// messageRecord holds what the checker observed of one message.
 type messageRecord struct {
 	id            string
 	expiresAt     float64
@@ -35,7 +35,7 @@
 	calls         []*call
 	finalAt       float64  // when it was delivered, or its notice acknowledged; 0: neither
 	finalBy       *process // the process that delivered it; nil if none did
-	firstNoticeAt float64  // when its notice first came; 0: never
+	firstNoticeAt float64  // when its first notice arrived; 0: none
 	attempts      int      // connection attempts since its hand-in, including failed ones
 }
 
@@ -52,10 +52,12 @@
 // mayHaveRun reports whether the sender cannot exclude that the call took effect.
 func (c *call) mayHaveRun() bool { return c.complete && !c.rejected }
 
+// report records a violation for a message.
 func (chk *checker) report(id, format string, args ...any) {
 	chk.violations = append(chk.violations, id+": "+fmt.Sprintf(format, args...))
 }
 
+// message returns the record of a message, or a new one outside of the list if no client handed it in.
 func (chk *checker) message(id string) *messageRecord {
 	for _, m := range chk.messages {
 		if m.id == id {
@@ -101,11 +103,11 @@
 		return started
 	}
 	m := chk.messages[i]
-	// A process that is killed while it gets an answer leaves a call that may have run, and the next process may repeat it as
-	// far as the topic allows. So a call after a delivery is a violation only in the process that delivered.
 	if m.refused {
 		chk.report(id, "called at %.3f, but its client got a refusal", now)
 	}
+	// A process that is killed while it gets an answer leaves a call that may have run, and the next process may repeat it as
+	// far as the topic allows. So a call after a delivery is a violation only in the process that delivered.
 	if m.finalAt > 0 && now > m.finalAt+timingSlack && (m.finalBy == nil || m.finalBy == process) {
 		chk.report(id, "called at %.3f, after its final answer at %.3f", now, m.finalAt)
 	}
--- a/lab/modelcheck/plan.go
+++ b/lab/modelcheck/plan.go
@@ -92,12 +92,12 @@
 	KillAtOp          int     // number of the operation at which it is killed, counted from 1; 0: none
 	TornWriteBytes    int     // bytes of a write that reach the file although the process is killed at it
 	GracefulStop      bool    // it is stopped gracefully at the end of its lifetime instead of killed
-	StopAtOp          int     // number of the operation at which it is told to stop, if its loop runs; it is killed at the end of its lifetime; 0: none
+	StopAtOp          int     // number of the operation at which a graceful stop begins, if its loop runs by then; 0: none
 	DiskFaultAt       float64 // seconds after its start at which writes to its folder begin to fail
 	DiskFaultDuration float64 // seconds for which writes to its folder fail; 0: none fail
 	FailedWriteBytes  int     // bytes of the first failing write that reach the file
 	NoticesUnanswered bool    // its notices get no answer
-	Lifetime          float64 // seconds until it is killed or stopped; 0: DefaultLifetime
+	Lifetime          float64 // seconds until it is killed, or stopped if GracefulStop is set; 0: DefaultLifetime
 }
 
 // Plan is a series of processes. One more process without faults follows them.
--- a/lab/modelcheck/process.go
+++ b/lab/modelcheck/process.go
@@ -44,6 +44,7 @@
 	return p.alive()
 }
 
+// alive reports whether the process has not been killed.
 func (p *process) alive() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -91,6 +92,7 @@
 	process *process
 }
 
+// file is a file in the folder of a process.
 type file struct {
 	disk.File
 	process *process
@@ -136,6 +138,7 @@
 	return f.File.WriteAt(b, at)
 }
 
+// errRefused is the error of a refused connection.
 var errRefused = &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 
 // dial opens a connection to an endpoint with the planned outcome of the next attempt.
@@ -200,6 +203,7 @@
 	w.calls = append(w.calls, c)
 }
 
+// errReset is the error of a write to a reset connection.
 var errReset = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", syscall.ECONNRESET)}
 
 // Write sends b with the planned outcome of the attempt, unless the process is killed.
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -22,12 +22,13 @@
 	"orchiddrift/push"
 )
 
+// The settings of a simulated dispatcher.
 const (
 	clockOrigin  = 1000.0   // the dispatcher's clock at the start of a run, in seconds
 	tickInterval = 0.005    // seconds
 	folderLimit  = 64 << 10 // bytes; enough for a few small segments
-	dest         = "1"
-	kind         = "plain"
+	dest         = "1"      // destination of all messages
+	kind         = "plain"  // kind of all endpoints
 )
 
 // world simulates the surroundings of the processes of a run: the folder, the endpoints, the clients and the platform.
@@ -41,6 +42,7 @@
 	invariants *invariant.Counters
 }
 
+// topics holds the rules of each topic by name. Ordered topics push the messages of a key one at a time.
 var topics = map[string]decide.Topic{
 	"once":  {Repeat: decide.OnceOnly, DedupScope: "all", Ordered: true},
 	"zoned": {Repeat: decide.Collapsible, DedupWindow: DedupWindow, DedupScope: "zone"},
@@ -75,8 +77,10 @@
 	return violations, operations
 }
 
+// now returns the time of the dispatcher's clock, in seconds.
 func (w *world) now() float64 { return clockOrigin + time.Since(w.startedAt).Seconds() }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // runProcess runs one process to its end and returns the number of its operations.
@@ -145,7 +149,7 @@
 	time.Sleep(seconds(lastExpiry + settleTime - w.now()))
 }
 
-// start opens the ledger and starts the event loop. It reports whether the process got that far.
+// start opens the ledger and starts the event loop. It kills the process and returns false if the ledger cannot be opened.
 func (w *world) start(p *process, shared bool) bool {
 	endpoints := directory.New()
 	endpoints.Replace(w.endpoints(ListComplete))
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -138,6 +138,7 @@
 	return c.violations
 }
 
+// report records a violation.
 func (c *checker) report(v Violation) { c.violations = append(c.violations, v) }
 
 // outcomeDelivered stands for a final answer that came from an endpoint instead of a notice.
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -27,7 +27,7 @@
 	cutAfter  int           // number of bytes from the client after which the connection is cut; 0: never
 	reset     bool          // whether the cut resets the connection instead of closing it
 	chunkSize int           // maximum number of bytes forwarded at a time; 0: no limit
-	delay     time.Duration // delay before each chunk from the client
+	delay     time.Duration // time between a read from the client and its forwarding
 }
 
 // The shares and sizes of the faults.
--- a/lab/soak/rude.go
+++ b/lab/soak/rude.go
@@ -81,7 +81,9 @@
 			failure = fmt.Sprintf("connection without a request still open after %v", closeDeadline)
 		}
 	case 2: // pipelined requests, which are answered up to the answer that closes the connection
-		if failure = sendPipelined(conn); failure == firstUnanswered { // the dispatcher may have closed an unread connection meanwhile: try once more
+		// A connection that ends before its first answer is tried once more, because the dispatcher may have closed it before
+		// it read the requests.
+		if failure = sendPipelined(conn); failure == firstUnanswered {
 			retry, err := net.DialTimeout("tcp", c.addr(dispatcher), time.Second)
 			if err != nil {
 				return
