--- a/directory/directory.go
+++ b/directory/directory.go
@@ -24,27 +24,27 @@
 // Directory is the list as one dispatcher knows it.
 type Directory struct {
 	byDest              map[string][]Endpoint // in the order in which the list named them
-	places              map[string]place      // of each endpoint
+	positions           map[string]position   // of each endpoint
 	Revision            int                   // updates taken in, failures too
 	ConsecutiveFailures int                   // notices that a watch or a fetch failed, since the last good update
 }
 
-// place is where an endpoint stands: at an index among those of its destination.
-type place struct {
-	dest string
-	at   int
+// position is where an endpoint stands: at an index among those of its destination.
+type position struct {
+	dest  string
+	index int
 }
 
 // New returns an empty directory.
 func New() *Directory {
-	return &Directory{byDest: map[string][]Endpoint{}, places: map[string]place{}}
+	return &Directory{byDest: map[string][]Endpoint{}, positions: map[string]position{}}
 }
 
 // Replace takes a whole list: an endpoint that it lacks is gone. A destination left without any stays known until
 // the next whole list: its endpoints may be about to be replaced.
 func (d *Directory) Replace(list []Endpoint) {
 	was := d.byDest
-	d.byDest, d.places = map[string][]Endpoint{}, map[string]place{}
+	d.byDest, d.positions = map[string][]Endpoint{}, map[string]position{}
 	for dest, known := range was {
 		if len(known) > 0 {
 			d.byDest[dest] = nil
@@ -58,7 +58,7 @@
 	d.Revision++
 	d.ConsecutiveFailures = 0
 	for _, e := range list {
-		d.put(e)
+		d.set(e)
 	}
 }
 
@@ -69,7 +69,7 @@
 }
 
 // Contains tells whether an endpoint is in the list.
-func (d *Directory) Contains(id string) bool { _, ok := d.places[id]; return ok }
+func (d *Directory) Contains(id string) bool { _, ok := d.positions[id]; return ok }
 
 // RecordFailure notes that a watch or a fetch failed; the list stays as it was.
 func (d *Directory) RecordFailure() {
@@ -82,33 +82,33 @@
 
 // Find returns an endpoint of a destination, as listed.
 func (d *Directory) Find(dest, id string) (Endpoint, bool) {
-	if p, ok := d.places[id]; ok && p.dest == dest {
-		return d.byDest[dest][p.at], true
+	if p, ok := d.positions[id]; ok && p.dest == dest {
+		return d.byDest[dest][p.index], true
 	}
 	return Endpoint{}, false
 }
 
-func (d *Directory) put(e Endpoint) {
-	known, listed := d.places[e.ID]
+func (d *Directory) set(e Endpoint) {
+	known, listed := d.positions[e.ID]
 	if listed && known.dest == e.Dest && e.Stage != Gone {
-		d.byDest[e.Dest][known.at] = e
+		d.byDest[e.Dest][known.index] = e
 		return
 	}
 	if listed { // gone, or moved: it may be told of without its destination
 		d.remove(e.ID, known)
 	}
 	if e.Stage != Gone {
-		d.places[e.ID] = place{e.Dest, len(d.byDest[e.Dest])}
+		d.positions[e.ID] = position{e.Dest, len(d.byDest[e.Dest])}
 		d.byDest[e.Dest] = append(d.byDest[e.Dest], e)
 	}
 }
 
 // remove takes an endpoint out, and moves up those behind it.
-func (d *Directory) remove(id string, p place) {
-	left := slices.Delete(slices.Clone(d.byDest[p.dest]), p.at, p.at+1)
-	for i, e := range left[p.at:] {
-		d.places[e.ID] = place{p.dest, p.at + i}
+func (d *Directory) remove(id string, p position) {
+	left := slices.Delete(slices.Clone(d.byDest[p.dest]), p.index, p.index+1)
+	for i, e := range left[p.index:] {
+		d.positions[e.ID] = position{p.dest, p.index + i}
 	}
 	d.byDest[p.dest] = left
-	delete(d.places, id)
+	delete(d.positions, id)
 }
--- a/intake/client.go
+++ b/intake/client.go
@@ -11,81 +11,81 @@
 	"orchiddrift/invariant"
 )
 
-// reason is why a client's connection was closed.
-type reason string
+// closeReason is why a client's connection was closed.
+type closeReason string
 
 // The reasons.
 const (
-	clientLeft reason = "client left"
-	idleLong   reason = "idle"            // nothing came in the time that a resting connection has
-	lastAnswer reason = "last answer"     // the answer said so
-	unreadable reason = "unreadable"      // what came was no request, or came too slowly
-	madeRoom   reason = "made room"       // for another connection
-	stopped    reason = "planned stop"    //
-	allBusy    reason = "all others busy" // it was never taken
+	closedByClient    closeReason = "client left"
+	idleTimedOut      closeReason = "idle"            // nothing came in the time that a resting connection has
+	afterLastResponse closeReason = "last answer"     // the answer said so
+	badRequest        closeReason = "unreadable"      // what came was no request, or came too slowly
+	evictedForRoom    closeReason = "made room"       // for another connection
+	serverStopping    closeReason = "planned stop"    //
+	noneEvictable     closeReason = "all others busy" // it was never taken
 )
 
-// client is a connection from a client. Bytes are taken from it, and it is shut, under the lock of all: whichever comes
+// clientConn is a connection from a client. Bytes are taken from it, and it is shut, under the lock of all: whichever comes
 // first. A connection of which bytes of a request were taken is not shut before that has its answer, or has failed to come
 // whole; of one that is shut nothing is taken.
-type client struct {
+type clientConn struct {
 	net.Conn
-	raw      syscall.RawConn
-	all      *clients
-	shut     bool // by us: nothing is taken any more
-	closed   bool // by the server
-	evicted  bool // shut while bytes of a request were taken: if those turn out to be all of it, it is answered
-	why      reason
-	begun    bool   // bytes of a request were taken
-	whole    bool   // it was read whole, and handed in
-	answered bool   // it has its answer: the next bytes are another's
-	served   bool   // the connection has had an answer
-	moved    int    // the later it came or was answered last, the more
-	id       string // of the request that was read whole last
-	framer   framer
-	handed   int // requests that the server has handed in
+	rawConn              syscall.RawConn
+	listener             *limitListener
+	readClosed           bool // by us: nothing is taken any more
+	closed               bool // by the server
+	evictedDuringRequest bool // shut while bytes of a request were taken: if those turn out to be all of it, it is answered
+	reason               closeReason
+	requestStarted       bool   // bytes of a request were taken
+	requestComplete      bool   // it was read whole, and handed in
+	responded            bool   // it has its answer: the next bytes are another's
+	servedBefore         bool   // the connection has had an answer
+	lastActivity         int    // the later it came or was answered last, the more
+	requestID            string // of the request that was read whole last
+	framer               framer
+	handledRequests      int // requests that the server has handed in
 }
 
-func newClient(all *clients, conn net.Conn) *client {
-	c := &client{Conn: conn, all: all}
+func newClientConn(all *limitListener, conn net.Conn) *clientConn {
+	c := &clientConn{Conn: conn, listener: all}
 	if s, ok := conn.(syscall.Conn); ok {
-		c.raw, _ = s.SyscallConn()
+		c.rawConn, _ = s.SyscallConn()
 	}
 	return c
 }
 
 // Read takes bytes that the client sent. Whether the connection still stands is looked at with each look at the socket,
 // so that none are taken from one that is shut.
-func (c *client) Read(b []byte) (int, error) {
-	c.all.lock.Lock()
-	if c.answered {
-		c.begun = false
+func (c *clientConn) Read(b []byte) (int, error) {
+	c.listener.lock.Lock()
+	if c.responded {
+		c.requestStarted = false
 	}
-	c.all.lock.Unlock()
-	n, err := c.await(b)
-	c.all.lock.Lock()
-	defer c.all.lock.Unlock()
+	c.listener.lock.Unlock()
+	n, err := c.awaitBytes(b)
+	c.listener.lock.Lock()
+	defer c.listener.lock.Unlock()
 	switch {
 	case n > 0:
 		return n, nil
-	case c.shut:
+	case c.readClosed:
 		return 0, io.EOF
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.because(idleLong)
+		c.setReason(idleTimedOut)
 	default:
-		c.because(clientLeft)
+		c.setReason(closedByClient)
 	}
 	return 0, err
 }
 
-// await waits for bytes and takes them.
-func (c *client) await(b []byte) (n int, err error) {
-	if c.raw == nil { // no socket of the system's: what was taken is known only behind the read
+// awaitBytes waits for bytes and takes them.
+func (c *clientConn) awaitBytes(b []byte) (n int, err error) {
+	if c.rawConn == nil { // no socket of the system's: what was taken is known only behind the read
 		n, err = c.Conn.Read(b)
-		return c.took(b[:n]), err
+		return c.acceptBytes(b[:n]), err
 	}
-	waited := c.raw.Read(func(fd uintptr) bool {
-		n, err = c.take(int(fd), b)
+	waited := c.rawConn.Read(func(fd uintptr) bool {
+		n, err = c.readUnlessClosed(int(fd), b)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	switch {
@@ -99,42 +99,42 @@
 	return 0, io.EOF
 }
 
-// took notes bytes that were taken, and gives how many count: none on a connection that is shut.
-func (c *client) took(b []byte) int {
-	c.all.lock.Lock()
-	defer c.all.lock.Unlock()
-	if c.shut {
+// acceptBytes notes bytes that were taken, and gives how many count: none on a connection that is shut.
+func (c *clientConn) acceptBytes(b []byte) int {
+	c.listener.lock.Lock()
+	defer c.listener.lock.Unlock()
+	if c.readClosed {
 		if len(b) > 0 {
-			c.all.invariants.Report(invariant.ReadAfterClose, c.id, "%d bytes from %s", len(b), c.RemoteAddr())
+			c.listener.invariants.Report(invariant.ReadAfterClose, c.requestID, "%d bytes from %s", len(b), c.RemoteAddr())
 		}
 		return 0
 	}
-	c.note(b)
+	c.recordBytes(b)
 	return len(b)
 }
 
-// take takes bytes that have come, unless the connection is shut.
-func (c *client) take(fd int, b []byte) (int, error) {
-	c.all.lock.Lock()
-	defer c.all.lock.Unlock()
-	if c.shut {
+// readUnlessClosed takes bytes that have come, unless the connection is shut.
+func (c *clientConn) readUnlessClosed(fd int, b []byte) (int, error) {
+	c.listener.lock.Lock()
+	defer c.listener.lock.Unlock()
+	if c.readClosed {
 		return 0, nil
 	}
-	n, err := readNow(fd, b)
-	c.note(b[:n])
+	n, err := readNonBlocking(fd, b)
+	c.recordBytes(b[:n])
 	return n, err
 }
 
-// note notes bytes that were taken.
-func (c *client) note(b []byte) {
+// recordBytes notes bytes that were taken.
+func (c *clientConn) recordBytes(b []byte) {
 	if len(b) > 0 {
-		c.begun, c.answered = true, false
+		c.requestStarted, c.responded = true, false
 		c.framer.feed(b)
 	}
 }
 
-// readNow reads what a socket that does not block has; 0 and no error is the other side's end.
-func readNow(fd int, b []byte) (int, error) {
+// readNonBlocking reads what a socket that does not block has; 0 and no error is the other side's end.
+func readNonBlocking(fd int, b []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, b)
 		if !errors.Is(err, syscall.EINTR) {
@@ -144,48 +144,48 @@
 }
 
 // Write writes an answer.
-func (c *client) Write(b []byte) (int, error) {
+func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.all.lock.Lock()
-	if c.answered = true; err != nil {
-		c.because(clientLeft)
+	c.listener.lock.Lock()
+	if c.responded = true; err != nil {
+		c.setReason(closedByClient)
 	}
-	c.all.lock.Unlock()
+	c.listener.lock.Unlock()
 	return n, err
 }
 
 // SetReadDeadline bounds the reads until the connection is shut; from then on nothing is waited for.
-func (c *client) SetReadDeadline(t time.Time) error {
-	c.all.lock.Lock()
-	defer c.all.lock.Unlock()
-	if c.shut {
+func (c *clientConn) SetReadDeadline(t time.Time) error {
+	c.listener.lock.Lock()
+	defer c.listener.lock.Unlock()
+	if c.readClosed {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
 // Close is the server's: it has no request of the connection any more. It ends our side, and the rest is linger's.
-func (c *client) Close() error {
-	l := c.all
+func (c *clientConn) Close() error {
+	l := c.listener
 	l.lock.Lock()
 	if c.closed {
 		l.lock.Unlock()
 		return nil
 	}
 	c.closed = true
-	if c.whole && c.why != clientLeft && (!c.answered || c.behind()) {
-		l.invariants.Report(invariant.ClosedUnanswered, c.id, "%s", c.RemoteAddr())
+	if c.requestComplete && c.reason != closedByClient && (!c.responded || c.hasPipelinedRequestsLocked()) {
+		l.invariants.Report(invariant.ClosedUnanswered, c.requestID, "%s", c.RemoteAddr())
 	}
-	drain := c.begun && !c.whole && !c.shut
+	drain := c.requestStarted && !c.requestComplete && !c.readClosed
 	if drain {
-		c.because(unreadable)
+		c.setReason(badRequest)
 	}
-	c.end(lastAnswer)
-	linger := !(c.evicted && !c.whole) && (l.stopping || l.lingering < max(1, l.most/lingerers))
+	c.markReadClosed(afterLastResponse)
+	linger := !(c.evictedDuringRequest && !c.requestComplete) && (l.stopping || l.lingering < max(1, l.maxConns/lingerDivisor))
 	if linger {
 		l.lingering++
 	}
-	why, id := c.why, c.id
+	why, id := c.reason, c.requestID
 	l.lock.Unlock()
 	l.log.Debug().Stringer("client", c.RemoteAddr()).Str("ntf", id).Str("reason", string(why)).Msg("connection closed")
 	if !linger {
@@ -196,103 +196,107 @@
 	return nil
 }
 
-// end notes that the connection is shut, and why if that is not known yet.
-func (c *client) end(why reason) {
-	c.shut = true
-	c.because(why)
+// markReadClosed notes that the connection is shut, and why if that is not known yet.
+func (c *clientConn) markReadClosed(why closeReason) {
+	c.readClosed = true
+	c.setReason(why)
 }
 
-func (c *client) because(why reason) {
-	if c.why == "" {
-		c.why = why
+func (c *clientConn) setReason(why closeReason) {
+	if c.reason == "" {
+		c.reason = why
 	}
 }
 
-// dispensable tells that the connection may be closed to make room: no request was read whole on it.
-func (c *client) dispensable() bool { return !c.shut && (!c.begun || !c.whole && !c.answered) }
+// evictable tells that the connection may be closed to make room: no request was read whole on it.
+func (c *clientConn) evictable() bool {
+	return !c.readClosed && (!c.requestStarted || !c.requestComplete && !c.responded)
+}
 
 // closeWrite ends our side alone.
-func (c *client) closeWrite() {
+func (c *clientConn) closeWrite() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
 }
 
-// wake ends a read that waits.
-func (c *client) wake() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
+// interruptRead ends a read that waits.
+func (c *clientConn) interruptRead() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// asked notes that a request was read whole. It tells whether the request may be taken up, which it may not once the
+// requestReceived notes that a request was read whole. It tells whether the request may be taken up, which it may not once the
 // connection is shut, and whether the connection is to be closed with its answer.
-func (c *client) asked(id string) (ok, last bool) {
-	c.all.lock.Lock()
-	defer c.all.lock.Unlock()
-	c.id = id
-	if c.shut && !c.evicted {
-		c.all.invariants.Report(invariant.ClosedUnanswered, id, "read whole on a connection that was shut: %s", c.why)
+func (c *clientConn) requestReceived(id string) (ok, last bool) {
+	c.listener.lock.Lock()
+	defer c.listener.lock.Unlock()
+	c.requestID = id
+	if c.readClosed && !c.evictedDuringRequest {
+		c.listener.invariants.Report(invariant.ClosedUnanswered, id, "read whole on a connection that was shut: %s", c.reason)
 		return false, true
 	}
-	if c.all.open[c] && !c.served && !c.whole {
-		c.all.known++
+	if c.listener.open[c] && !c.servedBefore && !c.requestComplete {
+		c.listener.established++
 	}
-	c.whole, c.answered = true, false
-	c.handed++
-	return true, c.evicted || c.all.known > c.all.most/crowd
+	c.requestComplete, c.responded = true, false
+	c.handledRequests++
+	return true, c.evictedDuringRequest || c.listener.established > c.listener.maxConns/keepAliveDivisor
 }
 
-// spoilt notes that a request could not be read: what stands behind it is nothing that anybody can tell.
-func (c *client) spoilt() {
-	c.all.lock.Lock()
-	defer c.all.lock.Unlock()
-	c.framer.lost = true
+// stopCounting notes that a request could not be read: what stands behind it is nothing that anybody can tell.
+func (c *clientConn) stopCounting() {
+	c.listener.lock.Lock()
+	defer c.listener.lock.Unlock()
+	c.framer.failed = true
 }
 
-// more tells that further requests were read whole behind the one handed in last: closed with its answer, the connection
+// hasPipelinedRequests tells that further requests were read whole behind the one handed in last: closed with its answer, the connection
 // would leave them without any.
-func (c *client) more() bool {
-	c.all.lock.Lock()
-	defer c.all.lock.Unlock()
-	return c.behind()
+func (c *clientConn) hasPipelinedRequests() bool {
+	c.listener.lock.Lock()
+	defer c.listener.lock.Unlock()
+	return c.hasPipelinedRequestsLocked()
 }
 
-func (c *client) behind() bool { return !c.framer.lost && c.framer.whole > c.handed }
+func (c *clientConn) hasPipelinedRequestsLocked() bool {
+	return !c.framer.failed && c.framer.completed > c.handledRequests
+}
 
-// unread tells that bytes of the client have come that nobody has read yet. Many connections may be accepted before the
+// hasUnreadBytes tells that bytes of the client have come that nobody has read yet. Many connections may be accepted before the
 // first of them is read, and a request that has come whole would end without an answer. It does harm only while a
 // client that sends without end is read more slowly than it sends.
-func (c *client) unread() bool {
+func (c *clientConn) hasUnreadBytes() bool {
 	n, _ := c.peek()
 	return n > 0
 }
 
 // peek looks whether bytes have come: how many of the first, or what reading would say.
-func (c *client) peek() (n int, err error) {
-	if c.raw == nil {
+func (c *clientConn) peek() (n int, err error) {
+	if c.rawConn == nil {
 		return 0, syscall.EAGAIN
 	}
-	control := c.raw.Control(func(fd uintptr) {
+	control := c.rawConn.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return max(0, n), errors.Join(err, control)
 }
 
-// ended tells whether the client has ended its side, or the connection broke. With drain, what came before that is read
+// peerClosed tells whether the client has ended its side, or the connection broke. With drain, what came before that is read
 // and dropped.
-func (c *client) ended(drain bool) bool {
-	if drain && c.raw != nil {
-		return c.drained()
+func (c *clientConn) peerClosed(drain bool) bool {
+	if drain && c.rawConn != nil {
+		return c.discardUntilClosed()
 	}
 	n, err := c.peek()
 	return n == 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// drained drops what has come and tells whether the end came behind it.
-func (c *client) drained() bool {
+// discardUntilClosed drops what has come and tells whether the end came behind it.
+func (c *clientConn) discardUntilClosed() bool {
 	ended := false
-	err := c.raw.Control(func(fd uintptr) {
+	err := c.rawConn.Control(func(fd uintptr) {
 		var b [4 << 10]byte
 		n, err := 1, error(nil)
 		for n > 0 {
-			n, err = readNow(int(fd), b[:])
+			n, err = readNonBlocking(int(fd), b[:])
 		}
 		ended = !errors.Is(err, syscall.EAGAIN)
 	})
--- a/intake/closing_test.go
+++ b/intake/closing_test.go
@@ -21,21 +21,21 @@
 	"orchiddrift/invariant"
 )
 
-const order = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: a1\r\nX-Call-Class: order\r\nX-Budget: 480m\r\nX-Addressing: dest=7\r\n" +
+const validRequest = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: a1\r\nX-Call-Class: order\r\nX-Budget: 480m\r\nX-Addressing: dest=7\r\n" +
 	"Content-Length: 2\r\n\r\nhi"
 
-// rig is a server on loopback that takes on all it is handed.
-type rig struct {
+// testServer is a server on loopback that takes on all it is handed.
+type testServer struct {
 	*Server
 	net.Listener
-	told chan string
+	accepted chan string
 }
 
-func newRig(t *testing.T) *rig {
+func newTestServer(t *testing.T) *testServer {
 	t.Helper()
-	r := &rig{told: make(chan string, 99)}
+	r := &testServer{accepted: make(chan string, 99)}
 	r.Server = NewServer(func() float64 { return 1000 }, func(string) (float64, bool) { return 9, true }, func(e gateway.Event) {
-		r.told <- e.(gateway.Arrived).Message.ID
+		r.accepted <- e.(gateway.Arrived).Message.ID
 		e.(gateway.Arrived).Reply(gateway.Reply{Accepted: true})
 	}, 10, zerolog.Nop())
 	var err error
@@ -46,9 +46,9 @@
 	return r
 }
 
-func (r *rig) serve() { go func() { _ = r.Server.Serve(r.Listener) }() }
+func (r *testServer) serve() { go func() { _ = r.Server.Serve(r.Listener) }() }
 
-func (r *rig) dial(t *testing.T) net.Conn {
+func (r *testServer) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Listener.Addr().String())
 	if err != nil {
@@ -59,8 +59,8 @@
 	return conn
 }
 
-// await waits until something is so.
-func await(t *testing.T, what string, is func() bool) {
+// waitFor waits until something is so.
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -69,14 +69,14 @@
 	}
 }
 
-func (r *rig) count() (open, lingering int) {
-	r.clients.lock.Lock()
-	defer r.clients.lock.Unlock()
-	return len(r.clients.open), r.clients.lingering
+func (r *testServer) connCounts() (open, lingering int) {
+	r.listener.lock.Lock()
+	defer r.listener.lock.Unlock()
+	return len(r.listener.open), r.listener.lingering
 }
 
-// answer reads one answer.
-func answer(t *testing.T, conn net.Conn) *http.Response {
+// readResponse reads one answer.
+func readResponse(t *testing.T, conn net.Conn) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -87,27 +87,27 @@
 }
 
 // A request and the end of its connection cross: it is read and answered, or it is not read.
-func TestCrossing(t *testing.T) {
-	t.Run("answered", readIsAnswered)
-	t.Run("unread", nothingReadAfterEnd)
-	t.Run("pipelined", pipelinedAreAnswered)
+func TestRequestDuringClose(t *testing.T) {
+	t.Run("answered", readRequestIsAnswered)
+	t.Run("unread", nothingReadAfterClose)
+	t.Run("pipelined", pipelinedRequestsAreAnswered)
 }
 
 // A request whose bytes were taken as its connection is wanted to make room, or ended by a planned stop, is answered: read
 // and closed with no answer it would be lost, though its client may hand it in elsewhere.
-func readIsAnswered(t *testing.T) {
-	for name, crosses := range map[string]func(*rig){"room": func(r *rig) { r.clients.makeRoom() },
-		"stop": func(r *rig) { go func() { _ = r.Server.Close() }(); time.Sleep(150 * time.Millisecond) }} {
-		r := newRig(t)
-		r.http.ConnState = func(conn net.Conn, s fasthttp.ConnState) {
+func readRequestIsAnswered(t *testing.T) {
+	for name, crosses := range map[string]func(*testServer){"room": func(r *testServer) { r.listener.evictOne() },
+		"stop": func(r *testServer) { go func() { _ = r.Server.Close() }(); time.Sleep(150 * time.Millisecond) }} {
+		r := newTestServer(t)
+		r.httpServer.ConnState = func(conn net.Conn, s fasthttp.ConnState) {
 			if s == fasthttp.StateActive { // its first bytes are in the server's hands, and none are left to be seen
 				crosses(r)
 			}
-			state(conn, s)
+			trackState(conn, s)
 		}
 		r.serve()
 		conn := r.dial(t)
-		fmt.Fprint(conn, order)
+		fmt.Fprint(conn, validRequest)
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusAccepted {
 			t.Errorf("%s: %v, %v", name, resp, err)
 		}
@@ -116,19 +116,19 @@
 
 // What comes on a connection after we ended our side is not read: its client sees that it was not, and hands it in again.
 // A request that was read and dropped would be lost.
-func nothingReadAfterEnd(t *testing.T) {
-	r := newRig(t)
+func nothingReadAfterClose(t *testing.T) {
+	r := newTestServer(t)
 	r.serve()
 	conn := r.dial(t)
-	fmt.Fprint(conn, order)
-	answer(t, conn)
+	fmt.Fprint(conn, validRequest)
+	readResponse(t, conn)
 	time.Sleep(20 * time.Millisecond) // it rests by then
 	done := make(chan struct{})
 	go func() { _ = r.Server.Close(); close(done) }()
 	if n, err := conn.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	fmt.Fprint(conn, order)
+	fmt.Fprint(conn, validRequest)
 	<-done
 	time.Sleep(20 * time.Millisecond)
 	if _, err := conn.Write([]byte("x")); err == nil { // a close over bytes that were not read has reset the connection
@@ -138,35 +138,35 @@
 
 // A client that sends more than may be read gets its answer, though the rest of what it sent stays unread.
 func TestAnswerBeforeClose(t *testing.T) {
-	r := newRig(t)
+	r := newTestServer(t)
 	r.serve()
 	conn := r.dial(t)
-	body := strings.Repeat("x", mostBody+1)
-	fmt.Fprint(conn, strings.Replace(order, "Length: 2", fmt.Sprint("Length: ", len(body)), 1)+body)
-	await(t, "it is answered and closed on our side", func() bool { open, _ := r.count(); return open == 0 })
-	if resp := answer(t, conn); resp.StatusCode != http.StatusBadRequest || !resp.Close {
+	body := strings.Repeat("x", maxBody+1)
+	fmt.Fprint(conn, strings.Replace(validRequest, "Length: 2", fmt.Sprint("Length: ", len(body)), 1)+body)
+	waitFor(t, "it is answered and closed on our side", func() bool { open, _ := r.connCounts(); return open == 0 })
+	if resp := readResponse(t, conn); resp.StatusCode != http.StatusBadRequest || !resp.Close {
 		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
 	}
 	conn.Close()
-	await(t, "nothing lingers", func() bool { open, lingering := r.count(); return open+lingering == 0 })
+	waitFor(t, "nothing lingers", func() bool { open, lingering := r.connCounts(); return open+lingering == 0 })
 }
 
 // A request that comes on a resting connection after a planned stop has closed it is dropped whole, and resets nothing.
 // Close returns once the client has ended its side, or has been waited for.
 func TestRequestAfterShutdown(t *testing.T) {
-	r := newRig(t)
+	r := newTestServer(t)
 	r.serve()
 	conn := r.dial(t)
-	fmt.Fprint(conn, order)
-	if resp := answer(t, conn); resp.StatusCode != http.StatusAccepted {
+	fmt.Fprint(conn, validRequest)
+	if resp := readResponse(t, conn); resp.StatusCode != http.StatusAccepted {
 		t.Fatal(resp.StatusCode)
 	}
-	<-r.told
-	await(t, "it rests", func() bool {
-		r.clients.lock.Lock()
-		defer r.clients.lock.Unlock()
-		for c := range r.clients.open {
-			return c.served && !c.begun
+	<-r.accepted
+	waitFor(t, "it rests", func() bool {
+		r.listener.lock.Lock()
+		defer r.listener.lock.Unlock()
+		for c := range r.listener.open {
+			return c.servedBefore && !c.requestStarted
 		}
 		return false
 	})
@@ -177,33 +177,33 @@
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	for range 3 { // over a closed socket the first is answered by a reset, and the next fails
-		if _, err := fmt.Fprint(conn, order); err != nil {
+		if _, err := fmt.Fprint(conn, validRequest); err != nil {
 			t.Errorf("reset: %v", err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	<-done
-	if took := time.Since(begun); took < lingerFor/2 {
+	if took := time.Since(begun); took < lingerTimeout/2 {
 		t.Errorf("closed after %v, before the client could have been heard", took)
 	}
-	if len(r.told) > 0 {
+	if len(r.accepted) > 0 {
 		t.Error("a request read after the shutdown was handed in")
 	}
 }
 
 // Few connections may linger: beyond those a close is a close.
 func TestLingerBound(t *testing.T) {
-	r := newRig(t)
+	r := newTestServer(t)
 	r.serve()
 	conns := []net.Conn{r.dial(t), r.dial(t), r.dial(t)}
 	for _, conn := range conns {
 		fmt.Fprint(conn, "what\r\n\r\n")
 	}
 	for _, conn := range conns {
-		if resp := answer(t, conn); resp.StatusCode != http.StatusBadRequest {
+		if resp := readResponse(t, conn); resp.StatusCode != http.StatusBadRequest {
 			t.Error(resp.StatusCode)
 		}
-		if _, lingering := r.count(); lingering > 1 { // an eighth of ten
+		if _, lingering := r.connCounts(); lingering > 1 { // an eighth of ten
 			t.Errorf("%d linger", lingering)
 		}
 	}
@@ -211,44 +211,44 @@
 
 // A connection that lingers does so for its own time, though the server sets a later one for the request it waits for.
 func TestLingerDeadline(t *testing.T) {
-	r := newRig(t)
-	r.clients.Listener = r.Listener
+	r := newTestServer(t)
+	r.listener.Listener = r.Listener
 	r.dial(t)
-	c, err := r.clients.Accept()
+	c, err := r.listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
 	_ = c.SetReadDeadline(time.Now().Add(time.Minute))
-	await(t, "it has lingered", func() bool { _, lingering := r.count(); return lingering == 0 })
+	waitFor(t, "it has lingered", func() bool { _, lingering := r.connCounts(); return lingering == 0 })
 }
 
-// starved is a listener whose process has no descriptor left for a while.
-type starved struct {
+// failingListener is a listener whose process has no descriptor left for a while.
+type failingListener struct {
 	net.Listener
-	fails atomic.Int32
-	with  error // EMFILE if nil
+	failures atomic.Int32
+	err      error // EMFILE if nil
 }
 
-func (s *starved) Accept() (net.Conn, error) {
-	if s.fails.Add(-1) >= 0 {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", cmp.Or(s.with, error(syscall.EMFILE)))}
+func (s *failingListener) Accept() (net.Conn, error) {
+	if s.failures.Add(-1) >= 0 {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", cmp.Or(s.err, error(syscall.EMFILE)))}
 	}
 	return s.Listener.Accept()
 }
 
 // An accept that fails in any way that Linux documents does not end the listener.
-func TestNoDescriptor(t *testing.T) {
+func TestAcceptErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.ENETDOWN,
 		syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 		syscall.EPERM, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT} {
-		r := newRig(t)
-		s := &starved{Listener: r.Listener, with: errno}
-		s.fails.Store(3)
+		r := newTestServer(t)
+		s := &failingListener{Listener: r.Listener, err: errno}
+		s.failures.Store(3)
 		served := make(chan error, 1)
 		go func() { served <- r.Server.Serve(s) }()
 		conn := r.dial(t)
-		fmt.Fprint(conn, order)
+		fmt.Fprint(conn, validRequest)
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusAccepted {
 			t.Errorf("%v: %v, %v", errno, resp, err)
 		}
@@ -262,17 +262,17 @@
 }
 
 // Where there is no descriptor for the next client, the one that rests makes room for it.
-func TestRoomForDescriptor(t *testing.T) {
-	r := newRig(t)
-	s := &starved{Listener: r.Listener}
-	r.clients.Listener = s
+func TestEvictionOnDescriptorShortage(t *testing.T) {
+	r := newTestServer(t)
+	s := &failingListener{Listener: r.Listener}
+	r.listener.Listener = s
 	rests := r.dial(t)
-	if _, err := r.clients.Accept(); err != nil {
+	if _, err := r.listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	s.fails.Store(1)
+	s.failures.Store(1)
 	r.dial(t)
-	if _, err := r.clients.Accept(); err != nil {
+	if _, err := r.listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
@@ -281,13 +281,13 @@
 }
 
 // A client sends many requests at once as the server leaves: each that was read is answered, and the last answer closes.
-func pipelinedAreAnswered(t *testing.T) {
-	r := newRig(t)
+func pipelinedRequestsAreAnswered(t *testing.T) {
+	r := newTestServer(t)
 	r.serve()
 	r.Server.DisableKeepAlives()
 	conn := r.dial(t)
-	text := strings.ReplaceAll(order, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=1\r\ni\r\n0\r\nX: 1\r\n\r\n")
-	fmt.Fprint(conn, order+text+"\r\n"+order)
+	text := strings.ReplaceAll(validRequest, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=1\r\ni\r\n0\r\nX: 1\r\n\r\n")
+	fmt.Fprint(conn, validRequest+text+"\r\n"+validRequest)
 	in := bufio.NewReader(conn)
 	for i, last := range []bool{false, false, true} {
 		resp, err := http.ReadResponse(in, nil)
@@ -298,15 +298,15 @@
 }
 
 // What stands behind a request that cannot be read is no request left without an answer.
-func TestBehindUnreadable(t *testing.T) {
-	for _, bad := range []string{"what\r\n\r\n", strings.Replace(order, "X-Budget: 480m", "X-Budget: long", 1),
+func TestRequestsAfterBadRequest(t *testing.T) {
+	for _, bad := range []string{"what\r\n\r\n", strings.Replace(validRequest, "X-Budget: 480m", "X-Budget: long", 1),
 		"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"} {
-		r := newRig(t)
+		r := newTestServer(t)
 		counts := &invariant.Counters{}
 		r.SetMetrics(counts, nil)
 		r.serve()
 		conn := r.dial(t)
-		fmt.Fprint(conn, order+bad+order+order)
+		fmt.Fprint(conn, validRequest+bad+validRequest+validRequest)
 		in := bufio.NewReader(conn)
 		for {
 			if _, err := http.ReadResponse(in, nil); err != nil {
@@ -314,7 +314,7 @@
 			}
 		}
 		conn.Close()
-		await(t, "it is closed", func() bool { open, lingering := r.count(); return open+lingering == 0 })
+		waitFor(t, "it is closed", func() bool { open, lingering := r.connCounts(); return open+lingering == 0 })
 		if n := counts.Count(invariant.ClosedUnanswered); n != 0 {
 			t.Errorf("behind %q: %d counted", bad, n)
 		}
@@ -324,16 +324,16 @@
 // Requests are counted whatever pieces they come in; what is no request ends the count.
 func TestFramer(t *testing.T) {
 	chunked := "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
-	for text, want := range map[string]int{"GET / HTTP/1.1\r\n\r\n": 1, order: 1, order + order: 2, chunked: 1, chunked + order + chunked: 3,
-		"POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + order: 0,
-		order + "GET / HTTP/1.1\r\n": 1, "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n" + order: 0, chunked[:len(chunked)-1]: 0} {
+	for text, want := range map[string]int{"GET / HTTP/1.1\r\n\r\n": 1, validRequest: 1, validRequest + validRequest: 2, chunked: 1, chunked + validRequest + chunked: 3,
+		"POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + validRequest: 0,
+		validRequest + "GET / HTTP/1.1\r\n": 1, "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n" + validRequest: 0, chunked[:len(chunked)-1]: 0} {
 		for piece := 1; piece <= len(text); piece++ {
 			f := framer{}
 			for rest := text; rest != ""; rest = rest[min(piece, len(rest)):] {
 				f.feed([]byte(rest[:min(piece, len(rest))]))
 			}
-			if f.whole != want {
-				t.Fatalf("%q in pieces of %d: %d, want %d", text, piece, f.whole, want)
+			if f.completed != want {
+				t.Fatalf("%q in pieces of %d: %d, want %d", text, piece, f.completed, want)
 			}
 		}
 	}
@@ -343,13 +343,13 @@
 // the end.
 func TestViolationsAreCounted(t *testing.T) {
 	counts := &invariant.Counters{}
-	for name, do := range map[invariant.Name]func(*client){
-		invariant.ClosedUnanswered: func(c *client) { c.begun, c.whole = true, true; _ = c.Close() },
-		invariant.ReadAfterClose:   func(c *client) { c.end(stopped); c.took([]byte("x")) },
+	for name, do := range map[invariant.Name]func(*clientConn){
+		invariant.ClosedUnanswered: func(c *clientConn) { c.requestStarted, c.requestComplete = true, true; _ = c.Close() },
+		invariant.ReadAfterClose:   func(c *clientConn) { c.markReadClosed(serverStopping); c.acceptBytes([]byte("x")) },
 	} {
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		do(newClient(&clients{most: 9, open: map[*client]bool{}, invariants: counts}, ours))
+		do(newClientConn(&limitListener{maxConns: 9, open: map[*clientConn]bool{}, invariants: counts}, ours))
 		if counts.Count(name) != 1 {
 			t.Errorf("%s counted %d times", name, counts.Count(name))
 		}
--- a/intake/framer.go
+++ b/intake/framer.go
@@ -10,96 +10,96 @@
 // what it has read behind a request is dropped where the connection is closed with that one's answer. It follows RFC 9112
 // for what clients send; where it cannot tell where a request ends it counts no more.
 type framer struct {
-	head   []byte // of a request whose head is not whole yet
-	body   int    // bytes of the present body still to come
-	chunks bool   // the present body is chunked
-	trail  bool   // and its trailer section is coming
-	line   []byte // of a chunk's size or a trailer, not whole yet
-	lost   bool
-	whole  int // requests so far
+	head      []byte // of a request whose head is not whole yet
+	bodyLeft  int    // bytes of the present body still to come
+	chunked   bool   // the present body is chunked
+	inTrailer bool   // and its trailer section is coming
+	line      []byte // of a chunk's size or a trailer, not whole yet
+	failed    bool
+	completed int // requests so far
 }
 
 // feed takes bytes in.
 func (f *framer) feed(b []byte) {
-	for len(b) > 0 && !f.lost {
+	for len(b) > 0 && !f.failed {
 		switch {
-		case f.body > 0:
-			n := min(f.body, len(b))
-			f.body, b = f.body-n, b[n:]
-			if f.body == 0 && !f.chunks {
-				f.whole++
+		case f.bodyLeft > 0:
+			n := min(f.bodyLeft, len(b))
+			f.bodyLeft, b = f.bodyLeft-n, b[n:]
+			if f.bodyLeft == 0 && !f.chunked {
+				f.completed++
 			}
-		case f.chunks:
-			b = f.chunk(b)
+		case f.chunked:
+			b = f.feedChunkLine(b)
 		default:
-			b = f.heads(b)
+			b = f.feedHead(b)
 		}
 	}
 }
 
-// heads takes in bytes of a head, and gives those behind it.
-func (f *framer) heads(b []byte) []byte {
+// feedHead takes in bytes of a head, and gives those behind it.
+func (f *framer) feedHead(b []byte) []byte {
 	if len(f.head) == 0 {
 		b = bytes.TrimLeft(b, "\r\n") // empty lines before a request mean nothing
 	}
 	for i, c := range b {
 		f.head = append(f.head, c)
 		if c == '\n' && (bytes.HasSuffix(f.head, []byte("\r\n\r\n")) || bytes.HasSuffix(f.head, []byte("\n\n"))) {
-			f.begin()
+			f.parseHead()
 			return b[i+1:]
 		}
-		if f.lost = len(f.head) > mostHead; f.lost {
+		if f.failed = len(f.head) > maxHead; f.failed {
 			return nil
 		}
 	}
 	return nil
 }
 
-// begin reads from a whole head where its request ends.
-func (f *framer) begin() {
+// parseHead reads from a whole head where its request ends.
+func (f *framer) parseHead() {
 	length, sized := 0, false
 	for line := range strings.SplitSeq(string(f.head), "\n") {
 		name, value, _ := strings.Cut(line, ":")
 		switch strings.ToLower(strings.TrimSpace(name)) {
 		case "content-length":
 			n, err := strconv.Atoi(strings.TrimSpace(value))
-			f.lost = f.lost || err != nil || n < 0 || n > mostBody
+			f.failed = f.failed || err != nil || n < 0 || n > maxBody
 			length, sized = n, true
 		case "transfer-encoding":
-			f.chunks = true
+			f.chunked = true
 		}
 	}
-	f.lost = f.lost || sized && f.chunks // it says in two ways where it ends
-	if f.head = f.head[:0]; f.lost {
+	f.failed = f.failed || sized && f.chunked // it says in two ways where it ends
+	if f.head = f.head[:0]; f.failed {
 		return
 	}
-	if f.body = length; f.chunks {
-		f.body = 0
+	if f.bodyLeft = length; f.chunked {
+		f.bodyLeft = 0
 	} else if length == 0 {
-		f.whole++
+		f.completed++
 	}
 }
 
-// chunk takes in bytes of a chunk's size or of the trailer section, and gives those behind the line.
-func (f *framer) chunk(b []byte) []byte {
+// feedChunkLine takes in bytes of a chunk's size or of the trailer section, and gives those behind the line.
+func (f *framer) feedChunkLine(b []byte) []byte {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
 		f.line = append(f.line, b...)
-		f.lost = len(f.line) > mostHead
+		f.failed = len(f.line) > maxHead
 		return nil
 	}
 	line := strings.TrimSpace(string(append(f.line, b[:i]...)))
 	f.line = f.line[:0]
 	switch {
-	case f.trail && line == "":
-		f.chunks, f.trail = false, false
-		f.whole++
-	case f.trail, line == "": // a trailer, or the line's end behind a chunk
+	case f.inTrailer && line == "":
+		f.chunked, f.inTrailer = false, false
+		f.completed++
+	case f.inTrailer, line == "": // a trailer, or the line's end behind a chunk
 	default:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		f.lost = err != nil
-		f.body, f.trail = int(n), n == 0
+		f.failed = err != nil
+		f.bodyLeft, f.inTrailer = int(n), n == 0
 	}
 	return b[i+1:]
 }
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -21,87 +21,87 @@
 )
 
 const (
-	mostBody = 64 << 10
-	mostHead = 4 << 10
-	idleFor  = 2200 * time.Millisecond // a client that has asked and keeps its connection
-	slowRead = 2 * time.Second         // from a connection's start, or a further request's first byte, to its last
-	linesOf  = 10                      // bad requests that the log names in a second
+	maxBody                 = 64 << 10
+	maxHead                 = 4 << 10
+	idleTimeout             = 2200 * time.Millisecond // a client that has asked and keeps its connection
+	ioTimeout               = 2 * time.Second         // from a connection's start, or a further request's first byte, to its last
+	badRequestLogsPerSecond = 10                      // bad requests that the log names in a second
 )
 
 // Server answers clients.
 type Server struct {
-	clock   func() float64
-	ttl     func(topic string) (float64, bool)
-	tell    func(gateway.Event)
-	log     zerolog.Logger // of bad requests: a few a second
-	trace   zerolog.Logger // of each request and connection, at debug level
-	http    *fasthttp.Server
-	clients *clients
-	leave   atomic.Bool
-	metrics func(io.Writer) // beside the invariants' counts; nil for none
+	clock              func() float64
+	ttl                func(topic string) (float64, bool)
+	submit             func(gateway.Event)
+	badRequestLog      zerolog.Logger // of bad requests: a few a second
+	debugLog           zerolog.Logger // of each request and connection, at debug level
+	httpServer         *fasthttp.Server
+	listener           *limitListener
+	closeAfterResponse atomic.Bool
+	writeMetrics       func(io.Writer) // beside the invariants' counts; nil for none
 }
 
 // NewServer returns a server that hands each message to tell, and holds so many connections at most.
 func NewServer(clock func() float64, ttl func(string) (float64, bool), tell func(gateway.Event), conns int,
 	log zerolog.Logger) *Server {
-	s := &Server{clock: clock, ttl: ttl, tell: tell, trace: log,
-		log: log.Sample(&zerolog.BurstSampler{Burst: linesOf, Period: time.Second})}
-	s.clients = &clients{most: conns, open: map[*client]bool{}, log: log}
-	s.http = &fasthttp.Server{Handler: s.handle, Concurrency: 2 * conns, MaxRequestBodySize: mostBody,
-		ReadBufferSize: mostHead, ErrorHandler: s.broken, ConnState: state,
-		IdleTimeout: idleFor, ReadTimeout: slowRead, WriteTimeout: slowRead, NoDefaultServerHeader: true,
-		NoDefaultContentType: true, Logger: quiet{}}
+	s := &Server{clock: clock, ttl: ttl, submit: tell, debugLog: log,
+		badRequestLog: log.Sample(&zerolog.BurstSampler{Burst: badRequestLogsPerSecond, Period: time.Second})}
+	s.listener = &limitListener{maxConns: conns, open: map[*clientConn]bool{}, log: log}
+	s.httpServer = &fasthttp.Server{Handler: s.handle, Concurrency: 2 * conns, MaxRequestBodySize: maxBody,
+		ReadBufferSize: maxHead, ErrorHandler: s.handleParseError, ConnState: trackState,
+		IdleTimeout: idleTimeout, ReadTimeout: ioTimeout, WriteTimeout: ioTimeout, NoDefaultServerHeader: true,
+		NoDefaultContentType: true, Logger: discardLogger{}}
 	return s
 }
 
 // SetMetrics lets what must not happen be counted, and the counts be read at /_metrics, with what more is written there.
 func (s *Server) SetMetrics(invariants *invariant.Counters, more func(io.Writer)) {
-	s.clients.invariants, s.metrics = invariants, more
+	s.listener.invariants, s.writeMetrics = invariants, more
 }
 
 // Serve answers on a listener until Close.
 func (s *Server) Serve(ln net.Listener) error {
-	s.clients.lock.Lock()
-	s.clients.Listener = ln
-	s.clients.lock.Unlock()
-	return s.http.Serve(s.clients)
+	s.listener.lock.Lock()
+	s.listener.Listener = ln
+	s.listener.lock.Unlock()
+	return s.httpServer.Serve(s.listener)
 }
 
 // DisableKeepAlives closes each client's connection with its next answer, so that the client goes elsewhere.
-func (s *Server) DisableKeepAlives() { s.leave.Store(true) }
+func (s *Server) DisableKeepAlives() { s.closeAfterResponse.Store(true) }
 
 // Close takes no new connections and no new requests; those of which bytes were taken are answered, and the answers have
 // left when it returns. The library's own Shutdown is not asked: it drops a request that comes as it closes a resting
 // connection, though the request was read.
 func (s *Server) Close() error {
-	s.clients.lock.Lock()
-	ln := s.clients.Listener
-	s.clients.lock.Unlock()
+	s.listener.lock.Lock()
+	ln := s.listener.Listener
+	s.listener.lock.Unlock()
 	if ln == nil { // it has not served yet
 		return nil
 	}
 	err := ln.Close()
-	s.clients.closed()
+	s.listener.waitClosed()
 	return err
 }
 
-// broken answers what is no HTTP: where it ends is not known, nor what stands behind it.
-func (s *Server) broken(ctx *fasthttp.RequestCtx, err error) {
-	if c, ok := ctx.Conn().(*client); ok {
-		c.spoilt()
+// handleParseError answers what is no HTTP: where it ends is not known, nor what stands behind it.
+func (s *Server) handleParseError(ctx *fasthttp.RequestCtx, err error) {
+	if c, ok := ctx.Conn().(*clientConn); ok {
+		c.stopCounting()
 	}
-	s.unreadable(ctx, err)
+	s.rejectRequest(ctx, err)
 }
 
-// unreadable answers what is no request, or one that is too large.
-func (s *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
-	s.log.Info().Stringer("client", ctx.RemoteAddr()).Err(err).Msg("bad request")
+// rejectRequest answers what is no request, or one that is too large.
+func (s *Server) rejectRequest(ctx *fasthttp.RequestCtx, err error) {
+	s.badRequestLog.Info().Stringer("client", ctx.RemoteAddr()).Err(err).Msg("bad request")
 	ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	ok, last := ctx.Conn().(*client).asked(string(ctx.Request.Header.Peek("X-Call-Id")))
-	if (last || s.leave.Load()) && !ctx.Conn().(*client).more() {
+	ok, last := ctx.Conn().(*clientConn).requestReceived(string(ctx.Request.Header.Peek("X-Call-Id")))
+	if (last || s.closeAfterResponse.Load()) && !ctx.Conn().(*clientConn).hasPipelinedRequests() {
 		ctx.SetConnectionClose()
 	}
 	switch path := string(ctx.Path()); {
@@ -111,30 +111,30 @@
 		ctx.SetStatusCode(fasthttp.StatusOK)
 	case path == "/_metrics" && ctx.IsGet():
 		ctx.SetContentType("text/plain; version=0.0.4")
-		_ = s.clients.invariants.Write(ctx)
-		if s.metrics != nil {
-			s.metrics(ctx)
+		_ = s.listener.invariants.Write(ctx)
+		if s.writeMetrics != nil {
+			s.writeMetrics(ctx)
 		}
 	case path != "/api" && path != "/_health" && path != "/_metrics":
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	case path != "/api" || !ctx.IsPost():
 		ctx.SetStatusCode(fasthttp.StatusMethodNotAllowed)
 	default:
-		s.take(ctx)
+		s.acceptMessage(ctx)
 	}
 }
 
-// take hands in the message of a request and answers with what becomes of it.
-func (s *Server) take(ctx *fasthttp.RequestCtx) {
+// acceptMessage hands in the message of a request and answers with what becomes of it.
+func (s *Server) acceptMessage(ctx *fasthttp.RequestCtx) {
 	m, err := s.decode(ctx)
 	if err != nil {
-		s.unreadable(ctx, err)
+		s.rejectRequest(ctx, err)
 		return
 	}
 	reply := make(chan gateway.Reply, 1)
-	s.tell(gateway.Arrived{Message: m, Reply: func(r gateway.Reply) { reply <- r }})
+	s.submit(gateway.Arrived{Message: m, Reply: func(r gateway.Reply) { reply <- r }})
 	r := <-reply
-	s.trace.Debug().Str("ntf", m.ID).Stringer("client", ctx.RemoteAddr()).Bool("taken", r.Accepted).Str("why", string(r.Reason)).
+	s.debugLog.Debug().Str("ntf", m.ID).Stringer("client", ctx.RemoteAddr()).Bool("taken", r.Accepted).Str("why", string(r.Reason)).
 		Float64("after", time.Since(ctx.Time()).Seconds()).Msg("request answered")
 	if r.Accepted {
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
@@ -149,7 +149,7 @@
 // decode reads the message of a request. It keeps no part of the request itself.
 func (s *Server) decode(ctx *fasthttp.RequestCtx) (*message.Message, error) {
 	h := &ctx.Request.Header
-	if twoLengths(h.RawHeaders()) {
+	if hasConflictingLengths(h.RawHeaders()) {
 		return nil, errors.New("both Content-Length and Transfer-Encoding: where the request ends is not certain")
 	}
 	m := &message.Message{IdempotencyKey: string(h.Peek("Idempotency-Key")), Body: append([]byte(nil), ctx.PostBody()...)}
@@ -162,7 +162,7 @@
 	if !known {
 		return nil, fmt.Errorf("X-Call-Class %q is not known", m.Topic)
 	}
-	for _, pair := range strings.FieldsFunc(string(h.Peek("X-Addressing")), separator) {
+	for _, pair := range strings.FieldsFunc(string(h.Peek("X-Addressing")), isSeparator) {
 		if name, value, _ := strings.Cut(pair, "="); name == "dest" {
 			m.Dest = value
 		}
@@ -170,7 +170,7 @@
 	if _, err := strconv.ParseUint(m.Dest, 10, 64); err != nil {
 		return nil, errors.New("X-Addressing names no dest")
 	}
-	left, err := span(string(h.Peek("X-Budget")))
+	left, err := parseBudget(string(h.Peek("X-Budget")))
 	if err != nil {
 		return nil, err
 	}
@@ -178,10 +178,10 @@
 	return m, nil
 }
 
-// twoLengths tells that a request says in two ways where it ends. Those who read it the other way may find a second
+// hasConflictingLengths tells that a request says in two ways where it ends. Those who read it the other way may find a second
 // request in its body, so nothing of it goes on; the library closes the connection. A client that means no harm
 // never sends both.
-func twoLengths(head []byte) bool {
+func hasConflictingLengths(head []byte) bool {
 	seen := map[string]bool{}
 	for _, line := range bytes.Split(head, []byte("\n")) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
@@ -190,10 +190,10 @@
 	return seen["content-length"] && seen["transfer-encoding"]
 }
 
-func separator(r rune) bool { return r == ' ' || r == ',' || r == ';' }
+func isSeparator(r rune) bool { return r == ' ' || r == ',' || r == ';' }
 
-// span reads a time: a number and its unit, m for milliseconds or u for microseconds.
-func span(text string) (float64, error) {
+// parseBudget reads a time: a number and its unit, m for milliseconds or u for microseconds.
+func parseBudget(text string) (float64, error) {
 	per := map[string]float64{"m": 1e3, "u": 1e6}
 	if n := len(text) - 1; n > 0 {
 		v, err := strconv.ParseFloat(text[:n], 64)
@@ -204,7 +204,7 @@
 	return 0, fmt.Errorf("X-Budget cannot be %q", text)
 }
 
-// quiet drops the library's own lines: a client that goes away is no news.
-type quiet struct{}
+// discardLogger drops the library's own lines: a client that goes away is no news.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -16,13 +16,13 @@
 	"orchiddrift/intake"
 )
 
-const good = "POST /api HTTP/1.1\nHost: origin.svc\nX-Call-Id: a1\nX-Call-Class: order\nX-Caller: acme\n" +
+const validRequest = "POST /api HTTP/1.1\nHost: origin.svc\nX-Call-Id: a1\nX-Call-Class: order\nX-Caller: acme\n" +
 	"Cookie: about=7f3a\nX-Budget: 480m\nIdempotency-Key: 5c0f\nContent-Length: 5\nX-Addressing: dest=7\n\nhello"
 
-const few, plenty = 10, 100 // connections: with plenty a closed one that the server has not seen end yet changes nothing
+const fewConns, manyConns = 10, 100 // connections: with plenty a closed one that the server has not seen end yet changes nothing
 
 // start serves with a gateway that takes on or refuses, and gives its address.
-func start(reply gateway.Reply) (*intake.Server, string) { return startOn(listen(), plenty, reply) }
+func start(reply gateway.Reply) (*intake.Server, string) { return startOn(listen(), manyConns, reply) }
 
 func listen() net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,8 +43,8 @@
 	return s, ln.Addr().String()
 }
 
-// ask sends a request and prints the answer.
-func ask(addr, text string) {
+// sendAndPrint sends a request and prints the answer.
+func sendAndPrint(addr, text string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		fmt.Println(err)
@@ -63,13 +63,13 @@
 // Messages that are taken on and refused; one with neither key nor mark; a server about to leave.
 func Example_messages() {
 	_, addr := start(gateway.Reply{Accepted: true})
-	ask(addr, good)
-	ask(addr, strings.NewReplacer("Cookie: about=7f3a\n", "", "Idempotency-Key: 5c0f\n", "", "480m", "250000u").Replace(good))
-	ask(addr, strings.Replace(good, "480m", "99999999m", 1))
-	ask(addr, "GET /_health HTTP/1.1\nHost: a\n\n")
+	sendAndPrint(addr, validRequest)
+	sendAndPrint(addr, strings.NewReplacer("Cookie: about=7f3a\n", "", "Idempotency-Key: 5c0f\n", "", "480m", "250000u").Replace(validRequest))
+	sendAndPrint(addr, strings.Replace(validRequest, "480m", "99999999m", 1))
+	sendAndPrint(addr, "GET /_health HTTP/1.1\nHost: a\n\n")
 	s, addr := start(gateway.Reply{RetryIn: 0.25})
 	s.DisableKeepAlives()
-	ask(addr, good)
+	sendAndPrint(addr, validRequest)
 	// Output:
 	// a1 order acme 7 "7f3a" until 1000.48: "5c0f" "hello"
 	// 202  false
@@ -83,14 +83,14 @@
 }
 
 // Bad requests are answered with 400, and never reach the gateway.
-func Example_bad() {
+func Example_badRequests() {
 	_, addr := start(gateway.Reply{Accepted: true})
 	for _, change := range [][2]string{{"X-Call-Id: a1\n", ""}, {"order", "letter"}, {"dest=7", "dest=x"},
 		{"dest=7", "to=7"}, {"480m", "480"}, {"480m", "-1m"}, {"480m", "NaNm"}, {"X-Budget: 480m\n", ""},
 		{"Length: 5", "Length: 65537"}, {"POST", "GET"}, {"/api", "/other"}, {"HTTP/1.1", "what"},
 		{"Length: 5", "Length: 5\nContent-Length: 4"}, {"Length: 5", "Length: -5"}} {
 		fmt.Printf("%q for %q: ", change[1], change[0])
-		ask(addr, strings.Replace(good, change[0], change[1], 1))
+		sendAndPrint(addr, strings.Replace(validRequest, change[0], change[1], 1))
 	}
 	// Output:
 	// "" for "X-Call-Id: a1\n": 400  false
@@ -110,9 +110,9 @@
 }
 
 // A request that says in two ways where it ends goes no further, and neither does one hidden in its body.
-func Example_hidden() {
+func Example_requestSmuggling() {
 	_, addr := start(gateway.Reply{Accepted: true})
-	ask(addr, strings.NewReplacer("Length: 5", "Length: 5\nTransfer-Encoding: chunked", "hello", "0\n\n"+good).Replace(good))
+	sendAndPrint(addr, strings.NewReplacer("Length: 5", "Length: 5\nTransfer-Encoding: chunked", "hello", "0\n\n"+validRequest).Replace(validRequest))
 	// Output:
 	// 400  true
 }
@@ -120,9 +120,9 @@
 // Connections that say nothing, or half of something, make room for one that asks, and end within the time. The oldest go: each
 // has been read before the next comes, as one that is not read yet is passed over (Example_unread), and who goes is not
 // what this is about then. Before, the test left that to chance, and another went in one of some hundred runs.
-func Example_silent() {
+func Example_silentClients() {
 	read := make(chan bool, 64)
-	_, addr := startOn(watched{listen(), read}, few, gateway.Reply{Accepted: true})
+	_, addr := startOn(readNotifyListener{listen(), read}, fewConns, gateway.Reply{Accepted: true})
 	idle, _ := net.Dial("tcp", addr)
 	fmt.Fprint(idle, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
 	_, _ = http.ReadResponse(bufio.NewReader(idle), nil)
@@ -139,7 +139,7 @@
 			ended[i] <- time.Since(begun)
 		}()
 	}
-	ask(addr, good)
+	sendAndPrint(addr, validRequest)
 	fmt.Fprint(idle, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(idle), nil)
 	fmt.Println(resp.StatusCode, err)
@@ -157,37 +157,37 @@
 	// xxxxxxx........ true
 }
 
-// watched is a listener whose connections tell when something of them was read.
-type watched struct {
+// readNotifyListener is a listener whose connections tell when something of them was read.
+type readNotifyListener struct {
 	net.Listener
 	read chan bool
 }
 
-func (l watched) Accept() (net.Conn, error) {
+func (l readNotifyListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &watchedConn{TCPConn: conn.(*net.TCPConn), read: l.read}, nil
+	return &readNotifyConn{TCPConn: conn.(*net.TCPConn), read: l.read}, nil
 }
 
-type watchedConn struct {
+type readNotifyConn struct {
 	*net.TCPConn
 	read chan bool
 }
 
-func (c *watchedConn) SyscallConn() (syscall.RawConn, error) {
+func (c *readNotifyConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return watchedRaw{raw, c.read}, err
+	return readNotifyRawConn{raw, c.read}, err
 }
 
-type watchedRaw struct {
+type readNotifyRawConn struct {
 	syscall.RawConn
 	read chan bool
 }
 
 // Read tells when bytes that had come are there no more.
-func (w watchedRaw) Read(f func(uintptr) bool) error {
+func (w readNotifyRawConn) Read(f func(uintptr) bool) error {
 	return w.RawConn.Read(func(fd uintptr) bool {
 		n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		done := f(fd)
@@ -199,8 +199,8 @@
 }
 
 // Clients that ask once and stay: beyond a third of the connections they are closed with their answer.
-func Example_crowd() {
-	_, addr := startOn(listen(), few, gateway.Reply{Accepted: true})
+func Example_keepAliveLimit() {
+	_, addr := startOn(listen(), fewConns, gateway.Reply{Accepted: true})
 	for range 5 {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
--- a/push/call.go
+++ b/push/call.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	mostBody = 64 << 10 // of an answer
-	mostCall = 64 << 10 // of a call with several messages
-	wrapping = 256      // what stands round a message there
+	maxResponseBody   = 64 << 10 // of an answer
+	maxBatchBody      = 64 << 10 // of a call with several messages
+	batchItemOverhead = 256      // what stands round a message there
 )
 
 // MinBudget is the least time that a call can tell its endpoint, in seconds.
@@ -26,9 +26,9 @@
 func Fits(list []*message.Message, m *message.Message) bool {
 	size := 0
 	for _, x := range append(list[:len(list):len(list)], m) {
-		size += wrapping + len(x.ID) + len(x.IdempotencyKey) + base64.StdEncoding.EncodedLen(len(x.Body))
+		size += batchItemOverhead + len(x.ID) + len(x.IdempotencyKey) + base64.StdEncoding.EncodedLen(len(x.Body))
 	}
-	return size <= mostCall
+	return size <= maxBatchBody
 }
 
 // CallResult tells how a call ended: one end for each message, in their order, and what the endpoint told.
@@ -59,11 +59,11 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	wait = math.Floor(wait*1000) / 1000 // as it is told: an answer after that counts for nothing at the endpoint
-	encode(req, c.addr, list, wait)
-	end, reusable := c.exchange(req, resp, len(list) == 1, time.Now().Add(seconds(wait)))
+	encodeRequest(req, c.addr, list, wait)
+	end, reusable := c.exchange(req, resp, len(list) == 1, time.Now().Add(toDuration(wait)))
 	late := end == ResponseTimeout || end == InvalidResponse && !reusable
 	if late {
-		c.giveUp()
+		c.closeWrite()
 	} else if !reusable {
 		c.Close()
 	}
@@ -72,22 +72,22 @@
 	}
 	a := UniformResult(len(list), end)
 	if a.LateResponsePending = late; end == InvalidResponse {
-		a.RawPrefix = c.raw()
+		a.RawPrefix = c.rawPrefix()
 	}
 	if end > InvalidResponse {
 		return a
 	}
 	a.Reusable = reusable
-	a.RetryAfter = number(string(resp.Header.Peek("Retry-After")))
-	a.LoadShare, a.LoadLimit, a.HasLoadReport = report(string(resp.Header.Peek("X-Load-Report")))
+	a.RetryAfter = parseSeconds(string(resp.Header.Peek("Retry-After")))
+	a.LoadShare, a.LoadLimit, a.HasLoadReport = parseLoadReport(string(resp.Header.Peek("X-Load-Report")))
 	if end == Delivered && len(list) > 1 {
-		a.Ends = states(resp.Body(), list)
+		a.Ends = parseBatchStates(resp.Body(), list)
 	}
 	return a
 }
 
-// encode writes the request: a call of its own for one message, a list for several.
-func encode(req *fasthttp.Request, addr string, list []*message.Message, wait float64) {
+// encodeRequest writes the request: a call of its own for one message, a list for several.
+func encodeRequest(req *fasthttp.Request, addr string, list []*message.Message, wait float64) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetHost(addr)
 	req.Header.SetNoDefaultContentType(true)
@@ -119,10 +119,10 @@
 	req.SetBodyRaw(body)
 }
 
-var stateEnds = map[string]End{"done": Delivered, "failed": Failed, "busy": Throttled, "void": AlreadySettled, "used_up": AttemptsExhausted}
+var endByState = map[string]End{"done": Delivered, "failed": Failed, "busy": Throttled, "void": AlreadySettled, "used_up": AttemptsExhausted}
 
-// states reads how each message of a call ended; one that is not named, or in a way not known, may have run.
-func states(body []byte, list []*message.Message) []End {
+// parseBatchStates reads how each message of a call ended; one that is not named, or in a way not known, may have run.
+func parseBatchStates(body []byte, list []*message.Message) []End {
 	var lines []struct {
 		ID    string `json:"id"`
 		State string `json:"state"`
@@ -130,7 +130,7 @@
 	told := map[string]End{}
 	if json.Unmarshal(body, &lines) == nil {
 		for _, l := range lines {
-			if end, ok := stateEnds[l.State]; ok {
+			if end, ok := endByState[l.State]; ok {
 				told[l.ID] = end
 			}
 		}
@@ -146,8 +146,8 @@
 	return ends
 }
 
-// report reads a load report, "TEXT x0=0.4, x1=25"; one that lacks a figure or has an odd one is no report.
-func report(text string) (share, limit float64, ok bool) {
+// parseLoadReport reads a load report, "TEXT x0=0.4, x1=25"; one that lacks a figure or has an odd one is no report.
+func parseLoadReport(text string) (share, limit float64, ok bool) {
 	seen := map[string]float64{}
 	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r == ' ' || r == ',' }) {
 		if name, value, cut := strings.Cut(word, "="); cut {
@@ -163,8 +163,8 @@
 	return share, limit, a && b
 }
 
-// number reads a count of seconds; 0 stands for none, and for one that cannot be read.
-func number(text string) float64 {
+// parseSeconds reads a count of seconds; 0 stands for none, and for one that cannot be read.
+func parseSeconds(text string) float64 {
 	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return 0
--- a/push/conn.go
+++ b/push/conn.go
@@ -15,53 +15,53 @@
 	"github.com/valyala/fasthttp"
 )
 
-var doneLine = regexp.MustCompile(`^HTTP/1\.[01] 200\b[^\n]*\n`)
+var statusOKLine = regexp.MustCompile(`^HTTP/1\.[01] 200\b[^\n]*\n`)
 
-// waitLine is the line of an answer's head that tells a wait.
-var waitLine = regexp.MustCompile(`(?i)\r?\nRetry-After:([^\r\n]*)\r?\n`)
+// retryAfterLine is the line of an answer's head that tells a wait.
+var retryAfterLine = regexp.MustCompile(`(?i)\r?\nRetry-After:([^\r\n]*)\r?\n`)
 
 const (
-	glance = time.Millisecond
+	minRestTimeout = time.Millisecond
 	// chunkedLength is what the library gives as the length of a chunked body.
-	chunkedLength = -1
-	restIn        = 250 * time.Millisecond
-	// onItsWay is how long an answer may be on its way here that was written before our end of the call was seen there.
-	onItsWay = 100 * time.Millisecond
+	chunkedLength  = -1
+	maxRestTimeout = 250 * time.Millisecond
+	// lateResponseTimeout is how long an answer may be on its way here that was written before our end of the call was seen there.
+	lateResponseTimeout = 100 * time.Millisecond
 )
 
 // Conn is a connection to an endpoint.
 type Conn struct {
-	addr string
-	net  net.Conn
-	in   *bufio.Reader
-	out  *bufio.Writer
-	tap  *tap        // what in reads through; nil for none
-	shut atomic.Bool // by us
+	addr     string
+	conn     net.Conn
+	reader   *bufio.Reader
+	writer   *bufio.Writer
+	recorder *prefixRecorder // what in reads through; nil for none
+	closed   atomic.Bool     // by us
 }
 
-// mostRaw is how much of an answer that could not be read is kept for the log.
-const mostRaw = 256
+// maxRawPrefix is how much of an answer that could not be read is kept for the log.
+const maxRawPrefix = 256
 
-// tap keeps the first bytes of each answer.
-type tap struct {
+// prefixRecorder keeps the first bytes of each answer.
+type prefixRecorder struct {
 	net.Conn
-	kept [mostRaw]byte
-	n    int
+	prefix [maxRawPrefix]byte
+	length int
 }
 
 // Read reads, and keeps what is first.
-func (t *tap) Read(b []byte) (int, error) {
+func (t *prefixRecorder) Read(b []byte) (int, error) {
 	n, err := t.Conn.Read(b)
-	t.n += copy(t.kept[t.n:], b[:n])
+	t.length += copy(t.prefix[t.length:], b[:n])
 	return n, err
 }
 
-// raw is what was kept of the present answer.
-func (c *Conn) raw() []byte {
-	if c.tap == nil {
+// rawPrefix is what was kept of the present answer.
+func (c *Conn) rawPrefix() []byte {
+	if c.recorder == nil {
 		return nil
 	}
-	return bytes.Clone(c.tap.kept[:c.tap.n])
+	return bytes.Clone(c.recorder.prefix[:c.recorder.length])
 }
 
 // Dialer opens a TCP connection to an address within a time.
@@ -76,12 +76,12 @@
 
 // Dial opens a connection within so many seconds.
 func (d Dialer) Dial(addr string, within float64) (*Conn, End) {
-	c, err := d(addr, seconds(within))
+	c, err := d(addr, toDuration(within))
 	if err != nil {
-		return nil, dialEnd(err)
+		return nil, endOfDialError(err)
 	}
-	t := &tap{Conn: c}
-	return &Conn{addr: addr, net: c, in: bufio.NewReaderSize(t, 4<<10), out: bufio.NewWriterSize(c, 4<<10), tap: t}, Delivered
+	t := &prefixRecorder{Conn: c}
+	return &Conn{addr: addr, conn: c, reader: bufio.NewReaderSize(t, 4<<10), writer: bufio.NewWriterSize(c, 4<<10), recorder: t}, Delivered
 }
 
 // localErrors are the errors of socket(2) and connect(2) that tell of this machine and not of the endpoint: no descriptor, no
@@ -89,8 +89,8 @@
 var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.EPERM, syscall.EACCES, syscall.EADDRINUSE}
 
-// dialEnd tells what the error of a dial stands for.
-func dialEnd(err error) End {
+// endOfDialError tells what the error of a dial stands for.
+func endOfDialError(err error) End {
 	for _, local := range localErrors {
 		if errors.Is(err, local) {
 			return NoSocket
@@ -105,8 +105,8 @@
 
 // Alive tells that the other side has neither closed an idle connection nor written to it.
 func (c *Conn) Alive() bool {
-	raw, err := c.net.(syscall.Conn).SyscallConn()
-	if err != nil || c.in.Buffered() > 0 {
+	raw, err := c.conn.(syscall.Conn).SyscallConn()
+	if err != nil || c.reader.Buffered() > 0 {
 		return false
 	}
 	alive := false
@@ -123,13 +123,13 @@
 
 // Close ends it, and with it a call that is out on it.
 func (c *Conn) Close() {
-	c.shut.Store(true)
-	_ = c.net.Close()
+	c.closed.Store(true)
+	_ = c.conn.Close()
 }
 
-// giveUp ends our side, so that the other knows of it, and leaves what is on its way to LastWord.
-func (c *Conn) giveUp() {
-	if half, ok := c.net.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
+// closeWrite ends our side, so that the other knows of it, and leaves what is on its way to LastWord.
+func (c *Conn) closeWrite() {
+	if half, ok := c.conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		c.Close()
 	}
 }
@@ -140,13 +140,13 @@
 // seen our end by then, and tells its wait after that.
 func (c *Conn) ReadLateRetryAfter() float64 {
 	defer c.Close()
-	_ = c.net.SetReadDeadline(time.Now().Add(onItsWay))
+	_ = c.conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
 	for {
-		come, _ := c.in.Peek(c.in.Buffered())
-		if told := waitLine.FindSubmatch(come); told != nil {
-			return number(string(told[1]))
+		come, _ := c.reader.Peek(c.reader.Buffered())
+		if told := retryAfterLine.FindSubmatch(come); told != nil {
+			return parseSeconds(string(told[1]))
 		}
-		if _, err := c.in.Peek(len(come) + 1); err != nil {
+		if _, err := c.reader.Peek(len(come) + 1); err != nil {
 			return 0
 		}
 	}
@@ -156,95 +156,95 @@
 // connection can carry another call. A spoilt answer, one that cannot be read to its end, may stand for a push that
 // ran, whatever its head says; alone with one message it is true if its first line reads 200.
 func (c *Conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, alone bool, deadline time.Time) (End, bool) {
-	if c.net.SetDeadline(deadline) != nil {
+	if c.conn.SetDeadline(deadline) != nil {
 		return WriteFailed, false
 	}
-	if c.tap != nil {
-		c.tap.n = 0
+	if c.recorder != nil {
+		c.recorder.length = 0
 	}
-	if err := req.Write(c.out); err != nil {
+	if err := req.Write(c.writer); err != nil {
 		return WriteFailed, false
 	}
-	if err := c.out.Flush(); err != nil {
+	if err := c.writer.Flush(); err != nil {
 		return WriteFailed, false
 	}
-	if err := c.begins(deadline); err != nil {
+	if err := c.awaitFirstByte(deadline); err != nil {
 		switch {
-		case c.shut.Load():
+		case c.closed.Load():
 			return Cancelled, false
-		case timedOut(err):
+		case deadlineExceeded(err):
 			return ResponseTimeout, false
 		}
 		return ConnectionLost, false
 	}
-	err := c.head(resp, deadline)
+	err := c.readHead(resp, deadline)
 	for err == nil && resp.StatusCode() < fasthttp.StatusOK { // on its way
-		if err = c.begins(deadline); err == nil {
-			err = c.head(resp, deadline)
+		if err = c.awaitFirstByte(deadline); err == nil {
+			err = c.readHead(resp, deadline)
 		}
 	}
 	done := err == nil && resp.StatusCode() == fasthttp.StatusOK
 	if err != nil {
-		begun, _ := c.in.Peek(c.in.Buffered())
-		done = doneLine.Match(begun)
-		if told := waitLine.FindSubmatch(begun); told != nil { // it binds, though the rest of the head is missing
+		begun, _ := c.reader.Peek(c.reader.Buffered())
+		done = statusOKLine.Match(begun)
+		if told := retryAfterLine.FindSubmatch(begun); told != nil { // it binds, though the rest of the head is missing
 			resp.Header.SetBytesV("Retry-After", told[1])
 		}
 	} else if code := resp.StatusCode(); code != fasthttp.StatusNoContent && code != fasthttp.StatusNotModified {
-		err = c.body(resp)
+		err = c.readBody(resp)
 	}
 	if err == nil {
-		err = c.net.SetDeadline(time.Time{}) // an idle connection has none: one that passed would look like its end
-		return answers(resp), err == nil && !resp.ConnectionClose() && c.in.Buffered() == 0
+		err = c.conn.SetDeadline(time.Time{}) // an idle connection has none: one that passed would look like its end
+		return endOfResponse(resp), err == nil && !resp.ConnectionClose() && c.reader.Buffered() == 0
 	}
 	switch {
 	case alone && done:
 		return Delivered, false
-	case c.shut.Load():
+	case c.closed.Load():
 		return Cancelled, false
 	}
 	return InvalidResponse, false
 }
 
-// body reads an answer's body to its end. That of a chunked one is behind its trailer section: cut off before it, an answer
+// readBody reads an answer's body to its end. That of a chunked one is behind its trailer section: cut off before it, an answer
 // is not whole, and what the library reads as its body may be a part of what the endpoint wrote.
-func (c *Conn) body(resp *fasthttp.Response) error {
+func (c *Conn) readBody(resp *fasthttp.Response) error {
 	chunked := resp.Header.ContentLength() == chunkedLength
-	if err := resp.ReadBody(c.in, mostBody); err != nil || !chunked {
+	if err := resp.ReadBody(c.reader, maxResponseBody); err != nil || !chunked {
 		return err
 	}
-	return resp.Header.ReadTrailer(c.in)
+	return resp.Header.ReadTrailer(c.reader)
 }
 
-// begins waits for an answer's first byte. One found after the deadline counts as none: a process that stood still
+// awaitFirstByte waits for an answer's first byte. One found after the deadline counts as none: a process that stood still
 // cannot tell whether it came in time, and a late one may stand for nothing. Taken as delivered it would end a
 // message that nobody else holds to be over. It does harm where the process often stands still.
-func (c *Conn) begins(deadline time.Time) error {
-	if err := c.net.SetDeadline(deadline); err != nil {
+func (c *Conn) awaitFirstByte(deadline time.Time) error {
+	if err := c.conn.SetDeadline(deadline); err != nil {
 		return err
 	}
-	_, err := c.in.Peek(1)
+	_, err := c.reader.Peek(1)
 	if err == nil && time.Now().After(deadline) {
 		return os.ErrDeadlineExceeded
 	}
 	return err
 }
 
-// head reads an answer's head; its rest and its body have to follow soon and within the call's time, so that an answer
+// readHead reads an answer's head; its rest and its body have to follow soon and within the call's time, so that an answer
 // that never ends holds neither a slot nor a message's end. This does harm where an endpoint takes longer between
 // the first byte of its answer and the last.
-func (c *Conn) head(resp *fasthttp.Response, deadline time.Time) error {
+func (c *Conn) readHead(resp *fasthttp.Response, deadline time.Time) error {
 	now := time.Now()
-	soon := now.Add(min(restIn, max(glance, deadline.Sub(now))))
-	if err := c.net.SetDeadline(soon); err != nil {
+	soon := now.Add(min(maxRestTimeout, max(minRestTimeout, deadline.Sub(now))))
+	if err := c.conn.SetDeadline(soon); err != nil {
 		return err
 	}
 	resp.Header.Reset()
-	return resp.Header.Read(c.in)
+	return resp.Header.Read(c.reader)
 }
 
-// answers reads the status line and what goes with it.
-func answers(resp *fasthttp.Response) End {
+// endOfResponse reads the status line and what goes with it.
+func endOfResponse(resp *fasthttp.Response) End {
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
 		return Delivered
@@ -270,8 +270,8 @@
 	return InvalidResponse
 }
 
-// timedOut tells that our own deadline has passed. A connection that the system gave up (ETIMEDOUT) has broken, though the
+// deadlineExceeded tells that our own deadline has passed. A connection that the system gave up (ETIMEDOUT) has broken, though the
 // error it gives says Timeout as well.
-func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+func deadlineExceeded(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/push/cuts_test.go
+++ b/push/cuts_test.go
@@ -15,28 +15,28 @@
 	"orchiddrift/message"
 )
 
-// scripted is a connection on which an answer comes and then an error: io.EOF for a FIN, ECONNRESET for a reset.
-type scripted struct {
+// scriptedConn is a connection on which an answer comes and then an error: io.EOF for a FIN, ECONNRESET for a reset.
+type scriptedConn struct {
 	net.Conn
-	answer io.Reader
-	end    error
+	response io.Reader
+	readErr  error
 }
 
-func (s *scripted) SetDeadline(time.Time) error     { return nil }
-func (s *scripted) SetReadDeadline(time.Time) error { return nil }
-func (s *scripted) Write(b []byte) (int, error)     { return len(b), nil }
-func (s *scripted) Close() error                    { return nil }
-func (s *scripted) Read(b []byte) (int, error) {
-	if n, err := s.answer.Read(b); err == nil {
+func (s *scriptedConn) SetDeadline(time.Time) error     { return nil }
+func (s *scriptedConn) SetReadDeadline(time.Time) error { return nil }
+func (s *scriptedConn) Write(b []byte) (int, error)     { return len(b), nil }
+func (s *scriptedConn) Close() error                    { return nil }
+func (s *scriptedConn) Read(b []byte) (int, error) {
+	if n, err := s.response.Read(b); err == nil {
 		return n, nil
 	}
-	return 0, s.end
+	return 0, s.readErr
 }
 
-// answered sends a call with so many messages, to which the text and then the error come.
-func answered(text string, end error, messages int) CallResult {
-	s := &scripted{answer: strings.NewReader(text), end: end}
-	c := &Conn{addr: "e1:80", net: s, in: bufio.NewReader(s), out: bufio.NewWriter(&bytes.Buffer{})}
+// resultOf sends a call with so many messages, to which the text and then the error come.
+func resultOf(text string, end error, messages int) CallResult {
+	s := &scriptedConn{response: strings.NewReader(text), readErr: end}
+	c := &Conn{addr: "e1:80", conn: s, reader: bufio.NewReader(s), writer: bufio.NewWriter(&bytes.Buffer{})}
 	var list []*message.Message
 	for i := range messages {
 		m := &message.Message{Body: []byte("hello")}
@@ -49,7 +49,7 @@
 // Every kind of answer, cut at every byte by a FIN and by a reset. Several messages are delivered by a whole answer alone
 // (its last chunk, its trailer section and the empty line behind them included); one message is once the first line that
 // reads 200 has come. A cut answer is never taken for a connection that can be used again.
-func TestCuts(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	const states = `[{"id":"m0","state":"done"},{"id":"m1","state":"done"}]`
 	sized := func(head string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(states), states)
@@ -84,10 +84,10 @@
 					single = Delivered
 				}
 				at := fmt.Sprintf("%s, %v after %q", name, end, kind.text[:cut])
-				if a := answered(kind.text[:cut], end, 2); a.Ends[0] != batch || a.Ends[1] != batch || a.Reusable != (whole && !kind.close) {
+				if a := resultOf(kind.text[:cut], end, 2); a.Ends[0] != batch || a.Ends[1] != batch || a.Reusable != (whole && !kind.close) {
 					t.Errorf("%s: two messages: %v, reusable %v, not %v", at, a.Ends, a.Reusable, batch)
 				}
-				if a := answered(kind.text[:cut], end, 1); a.Ends[0] != single || a.Reusable != (whole && !kind.close) {
+				if a := resultOf(kind.text[:cut], end, 1); a.Ends[0] != single || a.Reusable != (whole && !kind.close) {
 					t.Errorf("%s: one message: %v, reusable %v, not %v", at, a.Ends, a.Reusable, single)
 				}
 			}
@@ -101,7 +101,7 @@
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 27\r\nRetry-After: 1.5\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}]")
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		a := answered(text, io.EOF, 2)
+		a := resultOf(text, io.EOF, 2)
 		if a.RetryAfter < 0 || a.LoadShare < 0 || a.LoadLimit < 0 {
 			t.Fatalf("%q: wait %v, share %v, limit %v", text, a.RetryAfter, a.LoadShare, a.LoadLimit)
 		}
@@ -125,9 +125,9 @@
 }
 
 // A connection that the system gives up (ETIMEDOUT, EHOSTUNREACH) broke; it is not the silence that our own deadline ends.
-func TestGivenUpBySystem(t *testing.T) {
+func TestSystemTimeoutIsConnectionLost(t *testing.T) {
 	for _, errno := range []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
-		if a := answered("", errno, 1); a.Ends[0] != ConnectionLost || a.LateResponsePending {
+		if a := resultOf("", errno, 1); a.Ends[0] != ConnectionLost || a.LateResponsePending {
 			t.Errorf("%v before any byte: %v, late %v", errno, a.Ends, a.LateResponsePending)
 		}
 	}
--- a/push/late_test.go
+++ b/push/late_test.go
@@ -12,7 +12,7 @@
 
 // An endpoint writes its answer in the moment in which the call is given up: here it waits for our end, so the two always
 // cross. The call stays silent, whatever the answer says; a wait that stands in it is heard, also where the rest is cut off.
-func Example_crossingAnswer() {
+func Example_lateResponse() {
 	for _, text := range []string{
 		"HTTP/1.1 429 Too Many Requests\r\nretry-after: 2.5\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1.5\r\nConte",
@@ -21,8 +21,8 @@
 		"",
 	} {
 		ended := make(chan bool, 1)
-		conn, _ := push.Dial(crossing(text, ended), 1)
-		a := conn.Send([]*message.Message{msg("a")}, 0.03)
+		conn, _ := push.Dial(startLateEndpoint(text, ended), 1)
+		a := conn.Send([]*message.Message{newMessage("a")}, 0.03)
 		begun := time.Now()
 		wait := conn.ReadLateRetryAfter()
 		fmt.Println(a.Ends, a.LateResponsePending, wait, time.Since(begun) < time.Second, <-ended)
@@ -35,9 +35,9 @@
 	// [silent] true 0 true true
 }
 
-// crossing is an endpoint that reads until the other side has ended, and only then writes; nothing at all for "". It tells
+// startLateEndpoint is an endpoint that reads until the other side has ended, and only then writes; nothing at all for "". It tells
 // once it has seen that end.
-func crossing(text string, ended chan<- bool) string {
+func startLateEndpoint(text string, ended chan<- bool) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
--- a/push/push_test.go
+++ b/push/push_test.go
@@ -13,8 +13,8 @@
 	"orchiddrift/push"
 )
 
-// endpoint answers each connection's requests with the texts, then closes it; "hang" answers nothing.
-func endpoint(show bool, texts ...string) string {
+// startEndpoint answers each connection's requests with the texts, then closes it; "hang" answers nothing.
+func startEndpoint(show bool, texts ...string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -25,13 +25,13 @@
 			if err != nil {
 				return
 			}
-			go serve(conn, show, texts)
+			go serveResponses(conn, show, texts)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-func serve(conn net.Conn, show bool, texts []string) {
+func serveResponses(conn net.Conn, show bool, texts []string) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for _, text := range texts {
@@ -52,13 +52,13 @@
 	}
 }
 
-func msg(id string) *message.Message {
+func newMessage(id string) *message.Message {
 	m := &message.Message{IdempotencyKey: "k" + id, Body: []byte("hello " + id)}
 	m.ID = id
 	return m
 }
 
-func send(addr string, wait float64, list ...*message.Message) {
+func sendAndPrint(addr string, wait float64, list ...*message.Message) {
 	conn, end := push.Dial(addr, 1)
 	if conn == nil {
 		fmt.Println(end)
@@ -90,11 +90,11 @@
 		"HTTP/1.1 418 I'm a teapot\nContent-Length: 0\n\n",
 		"HTTP/1.1 20", "gibberish\n\n", "", "hang",
 	} {
-		send(endpoint(false, text), 0.2, msg("a"))
+		sendAndPrint(startEndpoint(false, text), 0.2, newMessage("a"))
 	}
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	ln.Close()
-	send(ln.Addr().String(), 0.2, msg("a"))
+	sendAndPrint(ln.Addr().String(), 0.2, newMessage("a"))
 	// Output:
 	// [done] 0 false 0 0 true
 	// [done] 0 true 0.4 25 true
@@ -121,14 +121,14 @@
 
 // What is sent: a message alone goes as it is, several go as a list and end one by one. Nothing goes twice.
 func Example_calls() {
-	send(endpoint(true, "HTTP/1.1 200 OK\nContent-Length: 0\n\n"), 1.5, msg("a"))
+	sendAndPrint(startEndpoint(true, "HTTP/1.1 200 OK\nContent-Length: 0\n\n"), 1.5, newMessage("a"))
 	states := `[{"id":"c","state":"busy"},{"id":"a","state":"done"},{"id":"b","state":"failed"},` +
 		`{"id":"d","state":"void"},{"id":"e","state":"used_up"},{"id":"f","state":"odd"}]`
 	head := fmt.Sprintf("HTTP/1.1 200 OK\nRetry-After: 0.3\nContent-Length: %d\n\n", len(states))
-	list := []*message.Message{msg("a"), msg("b"), msg("c"), msg("d"), msg("e"), msg("f"), msg("g")}
-	send(endpoint(true, head+states), 1.5, list...)
-	send(endpoint(false, "HTTP/1.1 503 Service Unavailable\nContent-Length: 0\n\n"), 1.5, msg("a"), msg("b"))
-	send(endpoint(true, ""), 1.5, msg("a"))
+	list := []*message.Message{newMessage("a"), newMessage("b"), newMessage("c"), newMessage("d"), newMessage("e"), newMessage("f"), newMessage("g")}
+	sendAndPrint(startEndpoint(true, head+states), 1.5, list...)
+	sendAndPrint(startEndpoint(false, "HTTP/1.1 503 Service Unavailable\nContent-Length: 0\n\n"), 1.5, newMessage("a"), newMessage("b"))
+	sendAndPrint(startEndpoint(true, ""), 1.5, newMessage("a"))
 	// Output:
 	// POST /hook a ka 1500m hello a
 	// [done] 0 false 0 0 true
@@ -142,18 +142,18 @@
 // A connection left idle is alive until the other side closes it, also past the last call's time. Closing it ourselves ends a call on it.
 func Example_idle() {
 	const done = "HTTP/1.1 200 OK\nContent-Length: 0\n\n"
-	conn, _ := push.Dial(endpoint(false, done, done), 1)
-	conn.Send([]*message.Message{msg("a")}, 0.05)
+	conn, _ := push.Dial(startEndpoint(false, done, done), 1)
+	conn.Send([]*message.Message{newMessage("a")}, 0.05)
 	time.Sleep(60 * time.Millisecond)
 	fmt.Println(conn.Alive())
-	conn.Send([]*message.Message{msg("b")}, 1)
+	conn.Send([]*message.Message{newMessage("b")}, 1)
 	for conn.Alive() { // the endpoint closes it now
 		time.Sleep(time.Millisecond)
 	}
 	fmt.Println(conn.Alive())
-	conn, _ = push.Dial(endpoint(false, "hang"), 1)
+	conn, _ = push.Dial(startEndpoint(false, "hang"), 1)
 	time.AfterFunc(20*time.Millisecond, conn.Close)
-	fmt.Println(conn.Send([]*message.Message{msg("a")}, 1).Ends)
+	fmt.Println(conn.Send([]*message.Message{newMessage("a")}, 1).Ends)
 	// Output:
 	// true
 	// false
@@ -163,7 +163,7 @@
 // Spoilt answers on connections that stay open: true alone if the first line reads 200, else they may have run
 // whatever their head says; none is waited for to the end of the call's time. What comes behind an answer ends its
 // connection.
-func Example_spoilt() {
+func Example_malformedResponses() {
 	begun := time.Now()
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\nContent-Length: 9\n\nhalf", "HTTP/1.1 200 OK\nX-No-End: 1\n", "HTTP/1.1 200 OK\n\n",
@@ -173,8 +173,8 @@
 		"HTTP/1.1 200 OK\nContent-Length: 0\n\nHTTP/1.1 200 OK\nContent-Length: 0\n\n",
 		"HTTP/1.1 400 Bad Request\nContent-Length: 0\n\n",
 	} {
-		send(endpoint(false, text, "hang"), 5, msg("a"))
-		send(endpoint(false, text, "hang"), 5, msg("a"), msg("b"))
+		sendAndPrint(startEndpoint(false, text, "hang"), 5, newMessage("a"))
+		sendAndPrint(startEndpoint(false, text, "hang"), 5, newMessage("a"), newMessage("b"))
 	}
 	fmt.Println(time.Since(begun) < 4*time.Second)
 	// Output:
--- a/push/stall_test.go
+++ b/push/stall_test.go
@@ -10,21 +10,21 @@
 	"orchiddrift/message"
 )
 
-// stalled is a connection whose answer is read after the deadline, as by a process that stood still meanwhile.
-type stalled struct{ net.Conn }
+// stalledConn is a connection whose answer is read after the deadline, as by a process that stood still meanwhile.
+type stalledConn struct{ net.Conn }
 
-func (s *stalled) SetDeadline(time.Time) error { return nil }
-func (s *stalled) Write(b []byte) (int, error) { return len(b), nil }
-func (s *stalled) Close() error                { return nil }
-func (s *stalled) Read(b []byte) (n int, err error) {
+func (s *stalledConn) SetDeadline(time.Time) error { return nil }
+func (s *stalledConn) Write(b []byte) (int, error) { return len(b), nil }
+func (s *stalledConn) Close() error                { return nil }
+func (s *stalledConn) Read(b []byte) (n int, err error) {
 	time.Sleep(30 * time.Millisecond)
 	return copy(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), nil
 }
 
 // A process that stood still past a call's time cannot tell whether the answer that it finds came in time.
-func Example_stall() {
-	s := &stalled{}
-	c := &Conn{addr: "e1:80", net: s, in: bufio.NewReader(s), out: bufio.NewWriter(&bytes.Buffer{})}
+func Example_stalledProcess() {
+	s := &stalledConn{}
+	c := &Conn{addr: "e1:80", conn: s, reader: bufio.NewReader(s), writer: bufio.NewWriter(&bytes.Buffer{})}
 	fmt.Println(c.Send([]*message.Message{{Body: []byte("hello")}}, 0.02).Ends)
 	// Output:
 	// [silent]
