--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory keeps the endpoints as they were last listed. It holds state and decides nothing.
+// Package directory holds the endpoints as last listed by the platform. It makes no decisions.
 package directory
 
 import "slices"
@@ -10,26 +10,26 @@
 	Gone     = "gone"
 )
 
-// Endpoint is one line of the list.
+// Endpoint is an entry of the list.
 type Endpoint struct {
 	ID    string
 	Zone  string
 	Kind  string
-	Dest  string  // the destination that it belongs to
+	Dest  string  // the destination it belongs to
 	Stage string  // Ready, Draining or Gone
-	Rate  float64 // calls a second that the destination is listed with; 0: not told
-	Addr  string  // where it is reached; "" on the simulator's wire
+	Rate  float64 // calls per second listed for the destination, 0 if not listed
+	Addr  string  // host and port; "" in the simulator
 }
 
-// Directory is the list as one dispatcher knows it.
+// Directory is a dispatcher's copy of the list.
 type Directory struct {
-	byDest              map[string][]Endpoint // in the order in which the list named them
-	positions           map[string]position   // of each endpoint
-	Revision            int                   // updates taken in, failures too
-	ConsecutiveFailures int                   // notices that a watch or a fetch failed, since the last good update
+	byDest              map[string][]Endpoint // in list order
+	positions           map[string]position   // by endpoint ID
+	Revision            int                   // number of applied updates and recorded failures
+	ConsecutiveFailures int                   // failed watches and fetches since the last successful update
 }
 
-// position is where an endpoint stands: at an index among those of its destination.
+// position is the index of an endpoint among the endpoints of its destination.
 type position struct {
 	dest  string
 	index int
@@ -40,20 +40,20 @@
 	return &Directory{byDest: map[string][]Endpoint{}, positions: map[string]position{}}
 }
 
-// Replace takes a whole list: an endpoint that it lacks is gone. A destination left without any stays known until
-// the next whole list: its endpoints may be about to be replaced.
+// Replace applies a full list: an endpoint that is not in it is gone. A destination that loses all its endpoints stays known
+// until the next full list, since its endpoints may be about to be replaced.
 func (d *Directory) Replace(list []Endpoint) {
-	was := d.byDest
+	previous := d.byDest
 	d.byDest, d.positions = map[string][]Endpoint{}, map[string]position{}
-	for dest, known := range was {
-		if len(known) > 0 {
+	for dest, endpoints := range previous {
+		if len(endpoints) > 0 {
 			d.byDest[dest] = nil
 		}
 	}
 	d.Apply(list)
 }
 
-// Apply takes in the entries that changed.
+// Apply applies an incremental update: the entries that changed.
 func (d *Directory) Apply(list []Endpoint) {
 	d.Revision++
 	d.ConsecutiveFailures = 0
@@ -62,25 +62,26 @@
 	}
 }
 
-// KnownDest tells whether the list names a destination, or lately did; before there is a list any may be.
+// KnownDest reports whether a destination is listed, or was until the last full list. It is true for any destination while
+// the directory is empty.
 func (d *Directory) KnownDest(dest string) bool {
 	_, ok := d.byDest[dest]
 	return ok || len(d.byDest) == 0
 }
 
-// Contains tells whether an endpoint is in the list.
+// Contains reports whether an endpoint is listed.
 func (d *Directory) Contains(id string) bool { _, ok := d.positions[id]; return ok }
 
-// RecordFailure notes that a watch or a fetch failed; the list stays as it was.
+// RecordFailure records that a watch or a fetch failed. The list stays as it is.
 func (d *Directory) RecordFailure() {
 	d.Revision++
 	d.ConsecutiveFailures++
 }
 
-// Endpoints lists the endpoints of a destination that are not known to be gone.
+// Endpoints returns the listed endpoints of a destination, without those that are gone. The caller must not modify them.
 func (d *Directory) Endpoints(dest string) []Endpoint { return d.byDest[dest] }
 
-// Find returns an endpoint of a destination, as listed.
+// Find returns the listed entry of an endpoint of a destination, and whether there is one.
 func (d *Directory) Find(dest, id string) (Endpoint, bool) {
 	if p, ok := d.positions[id]; ok && p.dest == dest {
 		return d.byDest[dest][p.index], true
@@ -88,14 +89,15 @@
 	return Endpoint{}, false
 }
 
+// set adds, updates or removes the entry of an endpoint.
 func (d *Directory) set(e Endpoint) {
-	known, listed := d.positions[e.ID]
-	if listed && known.dest == e.Dest && e.Stage != Gone {
-		d.byDest[e.Dest][known.index] = e
+	current, listed := d.positions[e.ID]
+	if listed && current.dest == e.Dest && e.Stage != Gone {
+		d.byDest[e.Dest][current.index] = e
 		return
 	}
-	if listed { // gone, or moved: it may be told of without its destination
-		d.remove(e.ID, known)
+	if listed { // gone, or moved to another destination; the entry of a gone endpoint may lack its destination
+		d.remove(e.ID, current)
 	}
 	if e.Stage != Gone {
 		d.positions[e.ID] = position{e.Dest, len(d.byDest[e.Dest])}
@@ -103,12 +105,12 @@
 	}
 }
 
-// remove takes an endpoint out, and moves up those behind it.
+// remove removes an endpoint and shifts the positions of those after it.
 func (d *Directory) remove(id string, p position) {
-	left := slices.Delete(slices.Clone(d.byDest[p.dest]), p.index, p.index+1)
-	for i, e := range left[p.index:] {
+	remaining := slices.Delete(slices.Clone(d.byDest[p.dest]), p.index, p.index+1)
+	for i, e := range remaining[p.index:] {
 		d.positions[e.ID] = position{p.dest, p.index + i}
 	}
-	d.byDest[p.dest] = left
+	d.byDest[p.dest] = remaining
 	delete(d.positions, id)
 }
--- a/intake/client.go
+++ b/intake/client.go
@@ -46,8 +46,8 @@
 	handledRequests      int // requests that the server has handed in
 }
 
-func newClientConn(all *limitListener, conn net.Conn) *clientConn {
-	c := &clientConn{Conn: conn, listener: all}
+func newClientConn(listener *limitListener, conn net.Conn) *clientConn {
+	c := &clientConn{Conn: conn, listener: listener}
 	if s, ok := conn.(syscall.Conn); ok {
 		c.rawConn, _ = s.SyscallConn()
 	}
@@ -84,15 +84,15 @@
 		n, err = c.Conn.Read(b)
 		return c.acceptBytes(b[:n]), err
 	}
-	waited := c.rawConn.Read(func(fd uintptr) bool {
+	waitErr := c.rawConn.Read(func(fd uintptr) bool {
 		n, err = c.readUnlessClosed(int(fd), b)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	switch {
 	case n > 0:
 		return n, nil
-	case waited != nil:
-		return 0, waited
+	case waitErr != nil:
+		return 0, waitErr
 	case err != nil:
 		return 0, os.NewSyscallError("read", err)
 	}
@@ -176,8 +176,8 @@
 	if c.requestComplete && c.reason != closedByClient && (!c.responded || c.hasPipelinedRequestsLocked()) {
 		l.invariants.Report(invariant.ClosedUnanswered, c.requestID, "%s", c.RemoteAddr())
 	}
-	drain := c.requestStarted && !c.requestComplete && !c.readClosed
-	if drain {
+	discard := c.requestStarted && !c.requestComplete && !c.readClosed
+	if discard {
 		c.setReason(badRequest)
 	}
 	c.markReadClosed(afterLastResponse)
@@ -185,26 +185,26 @@
 	if linger {
 		l.lingering++
 	}
-	why, id := c.reason, c.requestID
+	reason, requestID := c.reason, c.requestID
 	l.lock.Unlock()
-	l.log.Debug().Stringer("client", c.RemoteAddr()).Str("ntf", id).Str("reason", string(why)).Msg("connection closed")
+	l.log.Debug().Stringer("client", c.RemoteAddr()).Str("ntf", requestID).Str("reason", string(reason)).Msg("connection closed")
 	if !linger {
 		return c.Conn.Close()
 	}
 	c.closeWrite()
-	go l.linger(c, drain)
+	go l.linger(c, discard)
 	return nil
 }
 
 // markReadClosed notes that the connection is shut, and why if that is not known yet.
-func (c *clientConn) markReadClosed(why closeReason) {
+func (c *clientConn) markReadClosed(reason closeReason) {
 	c.readClosed = true
-	c.setReason(why)
+	c.setReason(reason)
 }
 
-func (c *clientConn) setReason(why closeReason) {
+func (c *clientConn) setReason(reason closeReason) {
 	if c.reason == "" {
-		c.reason = why
+		c.reason = reason
 	}
 }
 
@@ -215,8 +215,8 @@
 
 // closeWrite ends our side alone.
 func (c *clientConn) closeWrite() {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = halfCloser.CloseWrite()
 	}
 }
 
@@ -225,7 +225,7 @@
 
 // requestReceived notes that a request was read whole. It tells whether the request may be taken up, which it may not once the
 // connection is shut, and whether the connection is to be closed with its answer.
-func (c *clientConn) requestReceived(id string) (ok, last bool) {
+func (c *clientConn) requestReceived(id string) (ok, closeAfter bool) {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
 	c.requestID = id
@@ -273,16 +273,16 @@
 	if c.rawConn == nil {
 		return 0, syscall.EAGAIN
 	}
-	control := c.rawConn.Control(func(fd uintptr) {
+	controlErr := c.rawConn.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return max(0, n), errors.Join(err, control)
+	return max(0, n), errors.Join(err, controlErr)
 }
 
 // peerClosed tells whether the client has ended its side, or the connection broke. With drain, what came before that is read
 // and dropped.
-func (c *clientConn) peerClosed(drain bool) bool {
-	if drain && c.rawConn != nil {
+func (c *clientConn) peerClosed(discard bool) bool {
+	if discard && c.rawConn != nil {
 		return c.discardUntilClosed()
 	}
 	n, err := c.peek()
@@ -291,14 +291,14 @@
 
 // discardUntilClosed drops what has come and tells whether the end came behind it.
 func (c *clientConn) discardUntilClosed() bool {
-	ended := false
+	closed := false
 	err := c.rawConn.Control(func(fd uintptr) {
 		var b [4 << 10]byte
 		n, err := 1, error(nil)
 		for n > 0 {
 			n, err = readNonBlocking(int(fd), b[:])
 		}
-		ended = !errors.Is(err, syscall.EAGAIN)
+		closed = !errors.Is(err, syscall.EAGAIN)
 	})
-	return ended || err != nil
+	return closed || err != nil
 }
--- a/intake/clients.go
+++ b/intake/clients.go
@@ -83,25 +83,25 @@
 // evictOne closes the connection that can best be done without, and tells whether there was one.
 func (l *limitListener) evictOne() bool {
 	l.lock.Lock()
-	var out *clientConn
-	for x := range l.open {
-		if x.evictable() && (out == nil || !x.servedBefore && out.servedBefore || x.servedBefore == out.servedBefore && x.lastActivity < out.lastActivity) && !x.hasUnreadBytes() {
-			out = x
+	var victim *clientConn
+	for candidate := range l.open {
+		if candidate.evictable() && (victim == nil || !candidate.servedBefore && victim.servedBefore || candidate.servedBefore == victim.servedBefore && candidate.lastActivity < victim.lastActivity) && !candidate.hasUnreadBytes() {
+			victim = candidate
 		}
 	}
-	if out == nil {
+	if victim == nil {
 		l.lock.Unlock()
 		return false
 	}
-	out.markReadClosed(evictedForRoom)
-	l.remove(out)
-	evicted := out.requestStarted
-	if out.evictedDuringRequest = evicted; evicted { // its request may have been read whole just now: the server closes it
-		out.interruptRead()
+	victim.markReadClosed(evictedForRoom)
+	l.remove(victim)
+	midRequest := victim.requestStarted
+	if victim.evictedDuringRequest = midRequest; midRequest { // its request may have been read whole just now: the server closes it
+		victim.interruptRead()
 	}
 	l.lock.Unlock()
-	if !evicted {
-		_ = out.Conn.Close()
+	if !midRequest {
+		_ = victim.Conn.Close()
 	}
 	return true
 }
@@ -145,10 +145,10 @@
 // bytes that came and were not read resets it, and an answer on its way would go with them. Behind a request that was
 // answered nothing is read any more: what comes then is the client's to send again elsewhere. The rest of one that could
 // not be read is, and dropped, since it has its answer.
-func (l *limitListener) linger(c *clientConn, drain bool) {
-	wait := newBackoff(lingerTimeout)
-	for wait.wait() {
-		if c.peerClosed(drain) {
+func (l *limitListener) linger(c *clientConn, discard bool) {
+	b := newBackoff(lingerTimeout)
+	for b.wait() {
+		if c.peerClosed(discard) {
 			break
 		}
 	}
@@ -164,19 +164,19 @@
 	delay    time.Duration
 }
 
-func newBackoff(whole time.Duration) *backoff {
-	return &backoff{deadline: time.Now().Add(whole), delay: time.Millisecond}
+func newBackoff(total time.Duration) *backoff {
+	return &backoff{deadline: time.Now().Add(total), delay: time.Millisecond}
 }
 
 // wait pauses, and tells whether it is worth another look.
 func (b *backoff) wait() bool {
-	const slowest = 64 * time.Millisecond
-	left := time.Until(b.deadline)
-	if left <= 0 {
+	const maxDelay = 64 * time.Millisecond
+	remaining := time.Until(b.deadline)
+	if remaining <= 0 {
 		return false
 	}
-	time.Sleep(min(b.delay, left))
-	b.delay = min(2*b.delay, slowest)
+	time.Sleep(min(b.delay, remaining))
+	b.delay = min(2*b.delay, maxDelay)
 	return true
 }
 
--- a/intake/framer.go
+++ b/intake/framer.go
@@ -57,19 +57,19 @@
 
 // parseHead reads from a whole head where its request ends.
 func (f *framer) parseHead() {
-	length, sized := 0, false
+	length, hasLength := 0, false
 	for line := range strings.SplitSeq(string(f.head), "\n") {
 		name, value, _ := strings.Cut(line, ":")
 		switch strings.ToLower(strings.TrimSpace(name)) {
 		case "content-length":
 			n, err := strconv.Atoi(strings.TrimSpace(value))
 			f.failed = f.failed || err != nil || n < 0 || n > maxBody
-			length, sized = n, true
+			length, hasLength = n, true
 		case "transfer-encoding":
 			f.chunked = true
 		}
 	}
-	f.failed = f.failed || sized && f.chunked // it says in two ways where it ends
+	f.failed = f.failed || hasLength && f.chunked // it says in two ways where it ends
 	if f.head = f.head[:0]; f.failed {
 		return
 	}
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -42,12 +42,12 @@
 }
 
 // NewServer returns a server that hands each message to tell, and holds so many connections at most.
-func NewServer(clock func() float64, ttl func(string) (float64, bool), tell func(gateway.Event), conns int,
+func NewServer(clock func() float64, ttl func(string) (float64, bool), submit func(gateway.Event), maxConns int,
 	log zerolog.Logger) *Server {
-	s := &Server{clock: clock, ttl: ttl, submit: tell, debugLog: log,
+	s := &Server{clock: clock, ttl: ttl, submit: submit, debugLog: log,
 		badRequestLog: log.Sample(&zerolog.BurstSampler{Burst: badRequestLogsPerSecond, Period: time.Second})}
-	s.listener = &limitListener{maxConns: conns, open: map[*clientConn]bool{}, log: log}
-	s.httpServer = &fasthttp.Server{Handler: s.handle, Concurrency: 2 * conns, MaxRequestBodySize: maxBody,
+	s.listener = &limitListener{maxConns: maxConns, open: map[*clientConn]bool{}, log: log}
+	s.httpServer = &fasthttp.Server{Handler: s.handle, Concurrency: 2 * maxConns, MaxRequestBodySize: maxBody,
 		ReadBufferSize: maxHead, ErrorHandler: s.handleParseError, ConnState: trackState,
 		IdleTimeout: idleTimeout, ReadTimeout: ioTimeout, WriteTimeout: ioTimeout, NoDefaultServerHeader: true,
 		NoDefaultContentType: true, Logger: discardLogger{}}
@@ -55,8 +55,8 @@
 }
 
 // SetMetrics lets what must not happen be counted, and the counts be read at /_metrics, with what more is written there.
-func (s *Server) SetMetrics(invariants *invariant.Counters, more func(io.Writer)) {
-	s.listener.invariants, s.writeMetrics = invariants, more
+func (s *Server) SetMetrics(invariants *invariant.Counters, writeMetrics func(io.Writer)) {
+	s.listener.invariants, s.writeMetrics = invariants, writeMetrics
 }
 
 // Serve answers on a listener until Close.
@@ -100,8 +100,8 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	ok, last := ctx.Conn().(*clientConn).requestReceived(string(ctx.Request.Header.Peek("X-Call-Id")))
-	if (last || s.closeAfterResponse.Load()) && !ctx.Conn().(*clientConn).hasPipelinedRequests() {
+	ok, closeAfter := ctx.Conn().(*clientConn).requestReceived(string(ctx.Request.Header.Peek("X-Call-Id")))
+	if (closeAfter || s.closeAfterResponse.Load()) && !ctx.Conn().(*clientConn).hasPipelinedRequests() {
 		ctx.SetConnectionClose()
 	}
 	switch path := string(ctx.Path()); {
@@ -158,8 +158,8 @@
 	if m.ID == "" {
 		return nil, errors.New("X-Call-Id is missing")
 	}
-	ttl, known := s.ttl(m.Topic)
-	if !known {
+	ttl, ok := s.ttl(m.Topic)
+	if !ok {
 		return nil, fmt.Errorf("X-Call-Class %q is not known", m.Topic)
 	}
 	for _, pair := range strings.FieldsFunc(string(h.Peek("X-Addressing")), isSeparator) {
@@ -170,11 +170,11 @@
 	if _, err := strconv.ParseUint(m.Dest, 10, 64); err != nil {
 		return nil, errors.New("X-Addressing names no dest")
 	}
-	left, err := parseBudget(string(h.Peek("X-Budget")))
+	budget, err := parseBudget(string(h.Peek("X-Budget")))
 	if err != nil {
 		return nil, err
 	}
-	m.ExpiresAt = s.clock() + min(left, ttl) // no client's slip holds a message for days
+	m.ExpiresAt = s.clock() + min(budget, ttl) // no client's slip holds a message for days
 	return m, nil
 }
 
@@ -194,10 +194,10 @@
 
 // parseBudget reads a time: a number and its unit, m for milliseconds or u for microseconds.
 func parseBudget(text string) (float64, error) {
-	per := map[string]float64{"m": 1e3, "u": 1e6}
+	unitsPerSecond := map[string]float64{"m": 1e3, "u": 1e6}
 	if n := len(text) - 1; n > 0 {
 		v, err := strconv.ParseFloat(text[:n], 64)
-		if scale := per[text[n:]]; err == nil && scale > 0 && v >= 0 && v < 1e12 {
+		if scale := unitsPerSecond[text[n:]]; err == nil && scale > 0 && v >= 0 && v < 1e12 {
 			return v / scale, nil
 		}
 	}
--- a/push/call.go
+++ b/push/call.go
@@ -14,130 +14,132 @@
 )
 
 const (
-	maxResponseBody   = 64 << 10 // of an answer
-	maxBatchBody      = 64 << 10 // of a call with several messages
-	batchItemOverhead = 256      // what stands round a message there
+	maxResponseBody   = 64 << 10 // bytes
+	maxBatchBody      = 64 << 10 // bytes of a request body that carries several messages
+	batchItemOverhead = 256      // bytes of JSON syntax allowed for each message of a batch
 )
 
-// MinBudget is the least time that a call can tell its endpoint, in seconds.
+// MinBudget is the smallest X-Budget that a call can announce to its endpoint, in seconds.
 const MinBudget = 1e-3
 
-// Fits tells whether one more message fits the body of a call.
-func Fits(list []*message.Message, m *message.Message) bool {
+// Fits reports whether m can be added to the messages of a call without exceeding the size limit of its body.
+func Fits(messages []*message.Message, m *message.Message) bool {
 	size := 0
-	for _, x := range append(list[:len(list):len(list)], m) {
-		size += batchItemOverhead + len(x.ID) + len(x.IdempotencyKey) + base64.StdEncoding.EncodedLen(len(x.Body))
+	for _, msg := range append(messages[:len(messages):len(messages)], m) {
+		size += batchItemOverhead + len(msg.ID) + len(msg.IdempotencyKey) + base64.StdEncoding.EncodedLen(len(msg.Body))
 	}
 	return size <= maxBatchBody
 }
 
-// CallResult tells how a call ended: one end for each message, in their order, and what the endpoint told.
+// CallResult is the result of a call: how each push ended, and what the endpoint reported with its response.
 type CallResult struct {
-	Ends                []End
-	RetryAfter          float64 // seconds, 0 for none
-	HasLoadReport       bool
-	LoadShare           float64
-	LoadLimit           float64
-	Reusable            bool   // the connection can carry another call
-	RawPrefix           []byte // the first bytes of an answer that could not be read
-	LateResponsePending bool   // it was given up, and what is still on its way there is to be heard: LastWord
+	Ends                []End   // one for each message, in the order of the messages
+	RetryAfter          float64 // seconds, 0 if there was no Retry-After header
+	HasLoadReport       bool    // LoadShare and LoadLimit are set
+	LoadShare           float64 // x0 of X-Load-Report: the share of LoadLimit that is left
+	LoadLimit           float64 // x1 of X-Load-Report, calls per second
+	Reusable            bool    // the connection can carry another call
+	RawPrefix           []byte  // the first bytes of a response that could not be parsed
+	LateResponsePending bool    // the call was abandoned; the caller must call ReadLateRetryAfter, which closes the connection
 }
 
-// UniformResult is the answer in which all of n messages ended alike.
+// UniformResult returns the result of a call whose n pushes all ended in the same way.
 func UniformResult(n int, end End) CallResult {
-	a := CallResult{Ends: make([]End, n)}
-	for i := range a.Ends {
-		a.Ends[i] = end
+	result := CallResult{Ends: make([]End, n)}
+	for i := range result.Ends {
+		result.Ends[i] = end
 	}
-	return a
+	return result
 }
 
-// Send writes one call with the messages and waits so many seconds for its answer. A connection that cannot be
-// used again is closed, or else the answer is Late, and LastWord closes it.
-func (c *Conn) Send(list []*message.Message, wait float64) CallResult {
+// Send writes one call with the messages and waits up to timeout seconds for its response. A connection that cannot be
+// reused is closed, unless the result has LateResponsePending set: ReadLateRetryAfter closes it then.
+func (c *Conn) Send(messages []*message.Message, timeout float64) CallResult {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	wait = math.Floor(wait*1000) / 1000 // as it is told: an answer after that counts for nothing at the endpoint
-	encodeRequest(req, c.addr, list, wait)
-	end, reusable := c.exchange(req, resp, len(list) == 1, time.Now().Add(toDuration(wait)))
+	timeout = math.Floor(timeout*1000) / 1000 // whole milliseconds, as X-Budget announces it: a later response counts for nothing at the endpoint
+	encodeRequest(req, c.addr, messages, timeout)
+	end, reusable := c.exchange(req, resp, len(messages) == 1, time.Now().Add(toDuration(timeout)))
 	late := end == ResponseTimeout || end == InvalidResponse && !reusable
 	if late {
 		c.closeWrite()
 	} else if !reusable {
 		c.Close()
 	}
-	if end == Rejected && len(list) > 1 {
+	if end == Rejected && len(messages) > 1 {
 		end = BatchRejected
 	}
-	a := UniformResult(len(list), end)
-	if a.LateResponsePending = late; end == InvalidResponse {
-		a.RawPrefix = c.rawPrefix()
+	result := UniformResult(len(messages), end)
+	if result.LateResponsePending = late; end == InvalidResponse {
+		result.RawPrefix = c.rawPrefix()
 	}
 	if end > InvalidResponse {
-		return a
+		return result
 	}
-	a.Reusable = reusable
-	a.RetryAfter = parseSeconds(string(resp.Header.Peek("Retry-After")))
-	a.LoadShare, a.LoadLimit, a.HasLoadReport = parseLoadReport(string(resp.Header.Peek("X-Load-Report")))
-	if end == Delivered && len(list) > 1 {
-		a.Ends = parseBatchStates(resp.Body(), list)
+	result.Reusable = reusable
+	result.RetryAfter = parseSeconds(string(resp.Header.Peek("Retry-After")))
+	result.LoadShare, result.LoadLimit, result.HasLoadReport = parseLoadReport(string(resp.Header.Peek("X-Load-Report")))
+	if end == Delivered && len(messages) > 1 {
+		result.Ends = parseBatchStates(resp.Body(), messages)
 	}
-	return a
+	return result
 }
 
-// encodeRequest writes the request: a call of its own for one message, a list for several.
-func encodeRequest(req *fasthttp.Request, addr string, list []*message.Message, wait float64) {
+// encodeRequest fills in the request: /hook for a single message, /hook/batch with a JSON list for several.
+func encodeRequest(req *fasthttp.Request, addr string, messages []*message.Message, timeout float64) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetHost(addr)
 	req.Header.SetNoDefaultContentType(true)
-	req.Header.Set("X-Budget", strconv.Itoa(int(math.Round(wait*1000)))+"m")
-	if len(list) == 1 {
+	req.Header.Set("X-Budget", strconv.Itoa(int(math.Round(timeout*1000)))+"m")
+	if len(messages) == 1 {
 		req.SetRequestURI("/hook")
-		req.Header.Set("X-Call-Id", list[0].ID)
-		if list[0].IdempotencyKey != "" {
-			req.Header.Set("Idempotency-Key", list[0].IdempotencyKey)
+		req.Header.Set("X-Call-Id", messages[0].ID)
+		if messages[0].IdempotencyKey != "" {
+			req.Header.Set("Idempotency-Key", messages[0].IdempotencyKey)
 		}
-		req.SetBodyRaw(list[0].Body)
+		req.SetBodyRaw(messages[0].Body)
 		return
 	}
-	type line struct {
+	type batchItem struct {
 		ID   string `json:"id"`
 		Key  string `json:"key,omitempty"`
 		Body []byte `json:"body"`
 	}
-	lines := make([]line, len(list))
-	for i, m := range list {
-		lines[i] = line{m.ID, m.IdempotencyKey, m.Body}
+	items := make([]batchItem, len(messages))
+	for i, m := range messages {
+		items[i] = batchItem{m.ID, m.IdempotencyKey, m.Body}
 		if m.Body == nil {
-			lines[i].Body = []byte{}
+			items[i].Body = []byte{}
 		}
 	}
-	body, _ := json.Marshal(lines) // strings and bytes always marshal
+	body, _ := json.Marshal(items) // strings and bytes always marshal
 	req.SetRequestURI("/hook/batch")
 	req.Header.SetContentType("application/json")
 	req.SetBodyRaw(body)
 }
 
+// endByState maps the states in the response to a batch to ends.
 var endByState = map[string]End{"done": Delivered, "failed": Failed, "busy": Throttled, "void": AlreadySettled, "used_up": AttemptsExhausted}
 
-// parseBatchStates reads how each message of a call ended; one that is not named, or in a way not known, may have run.
-func parseBatchStates(body []byte, list []*message.Message) []End {
-	var lines []struct {
+// parseBatchStates returns the end of each message of a batch. A message that the response does not list, or lists with an
+// unknown state, gets InvalidResponse, since it may have run.
+func parseBatchStates(body []byte, messages []*message.Message) []End {
+	var items []struct {
 		ID    string `json:"id"`
 		State string `json:"state"`
 	}
-	told := map[string]End{}
-	if json.Unmarshal(body, &lines) == nil {
-		for _, l := range lines {
-			if end, ok := endByState[l.State]; ok {
-				told[l.ID] = end
+	reported := map[string]End{}
+	if json.Unmarshal(body, &items) == nil {
+		for _, item := range items {
+			if end, ok := endByState[item.State]; ok {
+				reported[item.ID] = end
 			}
 		}
 	}
-	ends := make([]End, len(list))
-	for i, m := range list {
-		end, ok := told[m.ID]
+	ends := make([]End, len(messages))
+	for i, m := range messages {
+		end, ok := reported[m.ID]
 		if !ok {
 			end = InvalidResponse
 		}
@@ -146,24 +148,25 @@
 	return ends
 }
 
-// parseLoadReport reads a load report, "TEXT x0=0.4, x1=25"; one that lacks a figure or has an odd one is no report.
+// parseLoadReport parses a load report such as "TEXT x0=0.4, x1=25". ok is false if a value is missing or is not a
+// finite number of at least 0.
 func parseLoadReport(text string) (share, limit float64, ok bool) {
-	seen := map[string]float64{}
-	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r == ' ' || r == ',' }) {
-		if name, value, cut := strings.Cut(word, "="); cut {
+	values := map[string]float64{}
+	for _, field := range strings.FieldsFunc(text, func(r rune) bool { return r == ' ' || r == ',' }) {
+		if name, value, found := strings.Cut(field, "="); found {
 			v, err := strconv.ParseFloat(value, 64)
 			if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 				return 0, 0, false
 			}
-			seen[name] = v
+			values[name] = v
 		}
 	}
-	share, a := seen["x0"]
-	limit, b := seen["x1"]
-	return share, limit, a && b
+	share, hasShare := values["x0"]
+	limit, hasLimit := values["x1"]
+	return share, limit, hasShare && hasLimit
 }
 
-// parseSeconds reads a count of seconds; 0 stands for none, and for one that cannot be read.
+// parseSeconds parses a number of seconds. It returns 0 for an empty or invalid value.
 func parseSeconds(text string) float64 {
 	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
--- a/push/conn.go
+++ b/push/conn.go
@@ -1,4 +1,4 @@
-// Package push carries calls to endpoints: a connection each, one call at a time, and nothing sent again.
+// Package push sends calls to endpoints over HTTP/1.1. A connection carries one call at a time, and no call is retried.
 package push
 
 import (
@@ -15,17 +15,20 @@
 	"github.com/valyala/fasthttp"
 )
 
+// statusOKLine matches the status line of a response with status 200.
 var statusOKLine = regexp.MustCompile(`^HTTP/1\.[01] 200\b[^\n]*\n`)
 
-// retryAfterLine is the line of an answer's head that tells a wait.
+// retryAfterLine matches the Retry-After line in the head of a response.
 var retryAfterLine = regexp.MustCompile(`(?i)\r?\nRetry-After:([^\r\n]*)\r?\n`)
 
 const (
+	// minRestTimeout is the least time that the rest of a response may take after its first byte.
 	minRestTimeout = time.Millisecond
-	// chunkedLength is what the library gives as the length of a chunked body.
-	chunkedLength  = -1
+	// chunkedLength is the content length that fasthttp reports for a chunked body.
+	chunkedLength = -1
+	// maxRestTimeout is the most time that the rest of a response may take after its first byte.
 	maxRestTimeout = 250 * time.Millisecond
-	// lateResponseTimeout is how long an answer may be on its way here that was written before our end of the call was seen there.
+	// lateResponseTimeout bounds the wait for a response that the endpoint wrote before it saw that the call was abandoned.
 	lateResponseTimeout = 100 * time.Millisecond
 )
 
@@ -35,28 +38,28 @@
 	conn     net.Conn
 	reader   *bufio.Reader
 	writer   *bufio.Writer
-	recorder *prefixRecorder // what in reads through; nil for none
-	closed   atomic.Bool     // by us
+	recorder *prefixRecorder // reader reads through it; nil if nothing is recorded
+	closed   atomic.Bool     // Close was called
 }
 
-// maxRawPrefix is how much of an answer that could not be read is kept for the log.
+// maxRawPrefix is the number of bytes of an unparsable response that are kept for the log.
 const maxRawPrefix = 256
 
-// prefixRecorder keeps the first bytes of each answer.
+// prefixRecorder is a connection that records the first bytes of each response.
 type prefixRecorder struct {
 	net.Conn
 	prefix [maxRawPrefix]byte
 	length int
 }
 
-// Read reads, and keeps what is first.
-func (t *prefixRecorder) Read(b []byte) (int, error) {
-	n, err := t.Conn.Read(b)
-	t.length += copy(t.prefix[t.length:], b[:n])
+// Read reads from the connection and records the bytes while there is room.
+func (r *prefixRecorder) Read(b []byte) (int, error) {
+	n, err := r.Conn.Read(b)
+	r.length += copy(r.prefix[r.length:], b[:n])
 	return n, err
 }
 
-// rawPrefix is what was kept of the present answer.
+// rawPrefix returns a copy of the recorded first bytes of the current response.
 func (c *Conn) rawPrefix() []byte {
 	if c.recorder == nil {
 		return nil
@@ -64,32 +67,34 @@
 	return bytes.Clone(c.recorder.prefix[:c.recorder.length])
 }
 
-// Dialer opens a TCP connection to an address within a time.
-type Dialer func(addr string, within time.Duration) (net.Conn, error)
+// Dialer opens a TCP connection to an address within a timeout.
+type Dialer func(addr string, timeout time.Duration) (net.Conn, error)
 
-// Dial opens a connection within so many seconds.
-func Dial(addr string, within float64) (*Conn, End) {
-	return Dialer(func(addr string, within time.Duration) (net.Conn, error) {
-		return net.DialTimeout("tcp", addr, within)
-	}).Dial(addr, within)
+// Dial opens a connection to an endpoint with net.DialTimeout. The timeout is in seconds. If it fails, the Conn is nil and
+// the End says how.
+func Dial(addr string, timeout float64) (*Conn, End) {
+	return Dialer(func(addr string, timeout time.Duration) (net.Conn, error) {
+		return net.DialTimeout("tcp", addr, timeout)
+	}).Dial(addr, timeout)
 }
 
-// Dial opens a connection within so many seconds.
-func (d Dialer) Dial(addr string, within float64) (*Conn, End) {
-	c, err := d(addr, toDuration(within))
+// Dial opens a connection to an endpoint. The timeout is in seconds. If it fails, the Conn is nil and the End says how.
+func (d Dialer) Dial(addr string, timeout float64) (*Conn, End) {
+	conn, err := d(addr, toDuration(timeout))
 	if err != nil {
 		return nil, endOfDialError(err)
 	}
-	t := &prefixRecorder{Conn: c}
-	return &Conn{addr: addr, conn: c, reader: bufio.NewReaderSize(t, 4<<10), writer: bufio.NewWriterSize(c, 4<<10), recorder: t}, Delivered
+	recorder := &prefixRecorder{Conn: conn}
+	return &Conn{addr: addr, conn: conn, reader: bufio.NewReaderSize(recorder, 4<<10), writer: bufio.NewWriterSize(conn, 4<<10), recorder: recorder}, Delivered
 }
 
-// localErrors are the errors of socket(2) and connect(2) that tell of this machine and not of the endpoint: no descriptor, no
-// memory or buffer, no free port, no route to any network, or an interruption.
+// localErrors are the errors of socket(2) and connect(2) that are caused by this machine and not by the endpoint: no file
+// descriptor, memory, buffer or free port is left, there is no permission or no route to the network, or the call was
+// interrupted.
 var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.EPERM, syscall.EACCES, syscall.EADDRINUSE}
 
-// endOfDialError tells what the error of a dial stands for.
+// endOfDialError returns the end that a dial error stands for.
 func endOfDialError(err error) End {
 	for _, local := range localErrors {
 		if errors.Is(err, local) {
@@ -97,13 +102,13 @@
 		}
 	}
 	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() { // our own deadline, or ETIMEDOUT: the system's
+	if errors.As(err, &timeout) && timeout.Timeout() { // the dial timeout, or ETIMEDOUT from the system
 		return ConnectTimeout
 	}
 	return ConnectFailed
 }
 
-// Alive tells that the other side has neither closed an idle connection nor written to it.
+// Alive reports whether an idle connection can still be used: the endpoint has neither closed it nor written to it.
 func (c *Conn) Alive() bool {
 	raw, err := c.conn.(syscall.Conn).SyscallConn()
 	if err != nil || c.reader.Buffered() > 0 {
@@ -118,44 +123,46 @@
 	return err == nil && alive
 }
 
-// Addr is where it leads.
+// Addr returns the address of the endpoint.
 func (c *Conn) Addr() string { return c.addr }
 
-// Close ends it, and with it a call that is out on it.
+// Close closes the connection. A call in progress on it ends as Cancelled.
 func (c *Conn) Close() {
 	c.closed.Store(true)
 	_ = c.conn.Close()
 }
 
-// closeWrite ends our side, so that the other knows of it, and leaves what is on its way to LastWord.
+// closeWrite shuts down the write side, so that the endpoint sees that the call was abandoned. ReadLateRetryAfter can still
+// read a response that is on its way. A connection that cannot be half closed is closed.
 func (c *Conn) closeWrite() {
-	if half, ok := c.conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
+	if halfCloser, ok := c.conn.(interface{ CloseWrite() error }); !ok || halfCloser.CloseWrite() != nil {
 		c.Close()
 	}
 }
 
-// ReadLateRetryAfter closes a connection whose call was given up and gives the wait told in what still came, 0 for none. An answer
-// may be written just as the call is given up, or be found too late by a process that stood still. It counts for nothing,
-// but a wait in it runs from that moment on, and the next call would break it. It does harm where an endpoint has not
-// seen our end by then, and tells its wait after that.
+// ReadLateRetryAfter waits for the late response to an abandoned call, closes the connection, and returns the Retry-After of
+// the response in seconds, 0 for none. The endpoint may write a response just as the call is abandoned, or this process may
+// have been suspended and find it too late. Such a response does not decide how the push ended, but its told wait applies
+// from then on, and the next call would violate it. A told wait is missed if the endpoint sees the half close only after
+// lateResponseTimeout and responds after that.
 func (c *Conn) ReadLateRetryAfter() float64 {
 	defer c.Close()
 	_ = c.conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
 	for {
-		come, _ := c.reader.Peek(c.reader.Buffered())
-		if told := retryAfterLine.FindSubmatch(come); told != nil {
-			return parseSeconds(string(told[1]))
+		buffered, _ := c.reader.Peek(c.reader.Buffered())
+		if match := retryAfterLine.FindSubmatch(buffered); match != nil {
+			return parseSeconds(string(match[1]))
 		}
-		if _, err := c.reader.Peek(len(come) + 1); err != nil {
+		if _, err := c.reader.Peek(len(buffered) + 1); err != nil {
 			return 0
 		}
 	}
 }
 
-// exchange writes a request and reads its answer until the deadline. The last result tells whether the
-// connection can carry another call. A spoilt answer, one that cannot be read to its end, may stand for a push that
-// ran, whatever its head says; alone with one message it is true if its first line reads 200.
-func (c *Conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, alone bool, deadline time.Time) (End, bool) {
+// exchange writes a request and reads its response until the deadline. It also reports whether the connection can carry
+// another call. A malformed or truncated response gives InvalidResponse whatever its head says, since the push may have run.
+// The exception is a call with a single message: it counts as delivered once its status line says 200.
+func (c *Conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, single bool, deadline time.Time) (End, bool) {
 	if c.conn.SetDeadline(deadline) != nil {
 		return WriteFailed, false
 	}
@@ -178,27 +185,27 @@
 		return ConnectionLost, false
 	}
 	err := c.readHead(resp, deadline)
-	for err == nil && resp.StatusCode() < fasthttp.StatusOK { // on its way
+	for err == nil && resp.StatusCode() < fasthttp.StatusOK { // interim 1xx responses
 		if err = c.awaitFirstByte(deadline); err == nil {
 			err = c.readHead(resp, deadline)
 		}
 	}
-	done := err == nil && resp.StatusCode() == fasthttp.StatusOK
+	statusOK := err == nil && resp.StatusCode() == fasthttp.StatusOK
 	if err != nil {
-		begun, _ := c.reader.Peek(c.reader.Buffered())
-		done = statusOKLine.Match(begun)
-		if told := retryAfterLine.FindSubmatch(begun); told != nil { // it binds, though the rest of the head is missing
-			resp.Header.SetBytesV("Retry-After", told[1])
+		buffered, _ := c.reader.Peek(c.reader.Buffered())
+		statusOK = statusOKLine.Match(buffered)
+		if match := retryAfterLine.FindSubmatch(buffered); match != nil { // the wait applies even if the rest of the head is missing
+			resp.Header.SetBytesV("Retry-After", match[1])
 		}
 	} else if code := resp.StatusCode(); code != fasthttp.StatusNoContent && code != fasthttp.StatusNotModified {
 		err = c.readBody(resp)
 	}
 	if err == nil {
-		err = c.conn.SetDeadline(time.Time{}) // an idle connection has none: one that passed would look like its end
+		err = c.conn.SetDeadline(time.Time{}) // no deadline while idle: an expired one would make Alive report a closed connection
 		return endOfResponse(resp), err == nil && !resp.ConnectionClose() && c.reader.Buffered() == 0
 	}
 	switch {
-	case alone && done:
+	case single && statusOK:
 		return Delivered, false
 	case c.closed.Load():
 		return Cancelled, false
@@ -206,8 +213,8 @@
 	return InvalidResponse, false
 }
 
-// readBody reads an answer's body to its end. That of a chunked one is behind its trailer section: cut off before it, an answer
-// is not whole, and what the library reads as its body may be a part of what the endpoint wrote.
+// readBody reads the body of a response to its end. A chunked response ends with its trailer section: one that is truncated
+// before that is incomplete, and the body that fasthttp returns may be only a part of what the endpoint wrote.
 func (c *Conn) readBody(resp *fasthttp.Response) error {
 	chunked := resp.Header.ContentLength() == chunkedLength
 	if err := resp.ReadBody(c.reader, maxResponseBody); err != nil || !chunked {
@@ -216,9 +223,10 @@
 	return resp.Header.ReadTrailer(c.reader)
 }
 
-// awaitFirstByte waits for an answer's first byte. One found after the deadline counts as none: a process that stood still
-// cannot tell whether it came in time, and a late one may stand for nothing. Taken as delivered it would end a
-// message that nobody else holds to be over. It does harm where the process often stands still.
+// awaitFirstByte waits for the first byte of a response. A byte found after the deadline counts as a timeout: a process that
+// was suspended cannot determine whether the response arrived in time, and the endpoint ignores one that it sent too late.
+// Taking it as delivered would settle a message that the endpoint does not consider settled. A process that is suspended
+// often loses valid responses this way.
 func (c *Conn) awaitFirstByte(deadline time.Time) error {
 	if err := c.conn.SetDeadline(deadline); err != nil {
 		return err
@@ -230,20 +238,20 @@
 	return err
 }
 
-// readHead reads an answer's head; its rest and its body have to follow soon and within the call's time, so that an answer
-// that never ends holds neither a slot nor a message's end. This does harm where an endpoint takes longer between
-// the first byte of its answer and the last.
+// readHead reads the head of a response. Its deadline, at most maxRestTimeout ahead, also applies to the body, so that a
+// response that never ends holds up neither a slot nor the result of a message. An endpoint that takes longer between the
+// first and the last byte of its response gets InvalidResponse.
 func (c *Conn) readHead(resp *fasthttp.Response, deadline time.Time) error {
 	now := time.Now()
-	soon := now.Add(min(maxRestTimeout, max(minRestTimeout, deadline.Sub(now))))
-	if err := c.conn.SetDeadline(soon); err != nil {
+	restDeadline := now.Add(min(maxRestTimeout, max(minRestTimeout, deadline.Sub(now))))
+	if err := c.conn.SetDeadline(restDeadline); err != nil {
 		return err
 	}
 	resp.Header.Reset()
 	return resp.Header.Read(c.reader)
 }
 
-// endOfResponse reads the status line and what goes with it.
+// endOfResponse returns the end that the status code and headers of a complete response stand for.
 func endOfResponse(resp *fasthttp.Response) End {
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
@@ -270,8 +278,8 @@
 	return InvalidResponse
 }
 
-// deadlineExceeded tells that our own deadline has passed. A connection that the system gave up (ETIMEDOUT) has broken, though the
-// error it gives says Timeout as well.
+// deadlineExceeded reports whether err means that the call's own deadline has passed. It is false for ETIMEDOUT, with which
+// the system gives up a connection, although Timeout reports true for that error too.
 func deadlineExceeded(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/push/end.go
+++ b/push/end.go
@@ -2,37 +2,39 @@
 
 import "orchiddrift/decide"
 
-// End is one way in which a call, or the connection it was to use, can end.
+// End says how a push, or the attempt to connect for it, ended.
 type End int
 
-// The ends. Those up to Unreadable are answers; the others are what became of the connection.
+// The ends up to InvalidResponse stand for responses of the endpoint. The later ones stand for failed connections and for
+// pushes that were not sent.
 const (
-	Delivered         End = iota // answered as delivered
-	Failed                       // answered with an error
-	Throttled                    // turned away unseen, perhaps told to wait
-	ConnectionLimit              // turned away with its connection: the endpoint holds no more of them
-	NoFreeSlot                   // not sent: all slots were taken
-	AlreadySettled               // not sent: the message is over
-	AttemptsExhausted            // not sent: the message has had all its pushes
-	Rejected                     // not run: the endpoint cannot read the message
-	BatchRejected                // not run: it cannot read a call with several; which is at fault is not told
-	InvalidResponse              // an answer that says nothing we know
-	ConnectFailed                // no connection: refused
-	ConnectTimeout               // no connection in the time there was
-	WriteFailed                  // the connection broke before the call's last byte was written
-	ConnectionLost               // it broke, or ended, after that
-	ResponseTimeout              // no answer in the time there was
-	Cancelled                    // we gave the call up
-	Withdrawn                    // never sent: what was told meanwhile forbids it, or the call is full
-	LedgerFailed                 // never sent: the ledger did not take its start
-	NoSocket                     // never sent: this process has no descriptor for a connection; it says nothing of the endpoint
+	Delivered         End = iota // 200: the push was processed
+	Failed                       // 500: the push failed at the endpoint
+	Throttled                    // 429 or 503: turned away unprocessed, possibly with Retry-After
+	ConnectionLimit              // 503 with Connection: close and no Retry-After: the endpoint accepts no more connections
+	NoFreeSlot                   // 503 with X-Over-Slots: not processed, since no slot was free
+	AlreadySettled               // 410: not processed, since the message already has its final answer
+	AttemptsExhausted            // 504: not processed, since the message has used up its pushes
+	Rejected                     // 400 or 413: not processed, since the endpoint cannot parse the message
+	BatchRejected                // 400 or 413 for a batch; the response does not say which message is at fault
+	InvalidResponse              // a malformed or truncated response, or an unexpected status
+	ConnectFailed                // the connection was refused, or failed in another way
+	ConnectTimeout               // the connection attempt timed out
+	WriteFailed                  // the connection broke before the request was written completely
+	ConnectionLost               // the connection broke or was closed after that and before the response
+	ResponseTimeout              // no response within the timeout
+	Cancelled                    // Close was called during the call
+	Withdrawn                    // not sent: an event since its decision forbids it, no time is left, or the call is full
+	LedgerFailed                 // not sent: its start could not be written to the ledger
+	NoSocket                     // not sent: a local error prevented the connection, such as no free file descriptor; it does not count against the endpoint
 )
 
-// ends says of each end its name in the log, the module's result, and whether nothing more is owed.
-var ends = [...]struct {
+// endProperties holds for each end its name in logs, metrics and stored data, its decide.Result, and whether it is the final
+// answer for the message.
+var endProperties = [...]struct {
 	name   string
 	result decide.Result
-	over   bool
+	final  bool
 }{
 	Delivered:         {"done", decide.Delivered, true},
 	Failed:            {"erred", decide.Failed, false},
@@ -55,27 +57,27 @@
 	NoSocket:          {"no socket", decide.NotAttempted, false},
 }
 
-// String is the end's name in the log.
-func (e End) String() string { return ends[e].name }
+// String returns the name of the end as it appears in logs, metrics and stored data.
+func (e End) String() string { return endProperties[e].name }
 
-// Outcome gives the module's outcome of a push that ended so.
+// Outcome returns the outcome that package decide records for a push that ended this way.
 func (e End) Outcome() decide.Outcome {
-	return decide.Outcome{Result: ends[e].result, Final: ends[e].over, NoSlot: e == NoFreeSlot, TooManyConnections: e == ConnectionLimit,
+	return decide.Outcome{Result: endProperties[e].result, Final: endProperties[e].final, NoSlot: e == NoFreeSlot, TooManyConnections: e == ConnectionLimit,
 		Unsent: e == Withdrawn || e == NoSocket || e == LedgerFailed, NoMorePushes: e == AttemptsExhausted || e == Rejected}
 }
 
-// MayHaveRun tells that the push may have taken effect.
+// MayHaveRun reports whether the push may have taken effect.
 func (e End) MayHaveRun() bool {
-	switch ends[e].result {
+	switch endProperties[e].result {
 	case decide.Delivered, decide.Failed, decide.TimedOut, decide.Reset, decide.Cancelled:
 		return true
 	}
 	return false
 }
 
-// MayStillRun tells that the push may take effect even after its end: nothing has come of it.
+// MayStillRun reports whether the push may still take effect after its end, since no response was received.
 func (e End) MayStillRun() bool {
-	switch ends[e].result {
+	switch endProperties[e].result {
 	case decide.TimedOut, decide.Reset, decide.Cancelled:
 		return true
 	}
