--- a/intake/client.go
+++ b/intake/client.go
@@ -11,39 +11,39 @@
 	"orchiddrift/invariant"
 )
 
-// closeReason is why a client's connection was closed.
+// closeReason is why a client's connection was closed, as the log names it.
 type closeReason string
 
-// The reasons.
+// Reasons for closing a connection.
 const (
 	closedByClient    closeReason = "client left"
-	idleTimedOut      closeReason = "idle"            // nothing came in the time that a resting connection has
-	afterLastResponse closeReason = "last answer"     // the answer said so
-	badRequest        closeReason = "unreadable"      // what came was no request, or came too slowly
-	evictedForRoom    closeReason = "made room"       // for another connection
-	serverStopping    closeReason = "planned stop"    //
-	noneEvictable     closeReason = "all others busy" // it was never taken
+	idleTimedOut      closeReason = "idle"            // idleTimeout passed without a request
+	afterLastResponse closeReason = "last answer"     // the last response announced Connection: close
+	badRequest        closeReason = "unreadable"      // the request was malformed or arrived too slowly
+	evictedForRoom    closeReason = "made room"       // closed to admit another connection
+	serverStopping    closeReason = "planned stop"    // Server.Close was called
+	noneEvictable     closeReason = "all others busy" // not admitted: the limit was reached and no connection could be evicted
 )
 
-// clientConn is a connection from a client. Bytes are taken from it, and it is shut, under the lock of all: whichever comes
-// first. A connection of which bytes of a request were taken is not shut before that has its answer, or has failed to come
-// whole; of one that is shut nothing is taken.
+// clientConn is a connection from a client. Reading from it and closing it for reading both happen under the lock of its
+// listener, so that they cannot overlap: once the first bytes of a request are read, the connection stays open until the
+// request is answered or turns out to be incomplete, and nothing is read from a connection that is closed for reading.
 type clientConn struct {
 	net.Conn
 	rawConn              syscall.RawConn
 	listener             *limitListener
-	readClosed           bool // by us: nothing is taken any more
-	closed               bool // by the server
-	evictedDuringRequest bool // shut while bytes of a request were taken: if those turn out to be all of it, it is answered
+	readClosed           bool // closed for reading by this side
+	closed               bool // Close was called
+	evictedDuringRequest bool // closed for reading with a request begun: it is answered if the bytes read turn out to be all of it
 	reason               closeReason
-	requestStarted       bool   // bytes of a request were taken
-	requestComplete      bool   // it was read whole, and handed in
-	responded            bool   // it has its answer: the next bytes are another's
-	servedBefore         bool   // the connection has had an answer
-	lastActivity         int    // the later it came or was answered last, the more
-	requestID            string // of the request that was read whole last
+	requestStarted       bool   // bytes of the current request were read
+	requestComplete      bool   // the current request was read completely and passed to the handler
+	responded            bool   // the current request was answered: the next bytes belong to another one
+	servedBefore         bool   // a request on this connection was answered
+	lastActivity         int    // sequence number of the accept or the last response
+	requestID            string // of the last request that was read completely
 	framer               framer
-	handledRequests      int // requests that the server has handed in
+	handledRequests      int // number of requests passed to the handler
 }
 
 func newClientConn(listener *limitListener, conn net.Conn) *clientConn {
@@ -54,8 +54,8 @@
 	return c
 }
 
-// Read takes bytes that the client sent. Whether the connection still stands is looked at with each look at the socket,
-// so that none are taken from one that is shut.
+// Read reads from the connection. It checks readClosed with each attempt to read from the socket, so that nothing is read
+// from a connection that is closed for reading.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.listener.lock.Lock()
 	if c.responded {
@@ -78,9 +78,9 @@
 	return 0, err
 }
 
-// awaitBytes waits for bytes and takes them.
+// awaitBytes waits until bytes can be read and reads them.
 func (c *clientConn) awaitBytes(b []byte) (n int, err error) {
-	if c.rawConn == nil { // no socket of the system's: what was taken is known only behind the read
+	if c.rawConn == nil { // not a system socket: the check can only follow the read
 		n, err = c.Conn.Read(b)
 		return c.acceptBytes(b[:n]), err
 	}
@@ -99,7 +99,8 @@
 	return 0, io.EOF
 }
 
-// acceptBytes notes bytes that were taken, and gives how many count: none on a connection that is shut.
+// acceptBytes records bytes that were read and returns how many of them count: none if the connection is closed for reading,
+// which is reported as a violation.
 func (c *clientConn) acceptBytes(b []byte) int {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
@@ -113,7 +114,7 @@
 	return len(b)
 }
 
-// readUnlessClosed takes bytes that have come, unless the connection is shut.
+// readUnlessClosed reads the bytes that have arrived, unless the connection is closed for reading.
 func (c *clientConn) readUnlessClosed(fd int, b []byte) (int, error) {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
@@ -125,7 +126,7 @@
 	return n, err
 }
 
-// recordBytes notes bytes that were taken.
+// recordBytes records bytes that were read. The caller holds the lock.
 func (c *clientConn) recordBytes(b []byte) {
 	if len(b) > 0 {
 		c.requestStarted, c.responded = true, false
@@ -133,7 +134,7 @@
 	}
 }
 
-// readNonBlocking reads what a socket that does not block has; 0 and no error is the other side's end.
+// readNonBlocking reads what a non-blocking socket holds. It returns 0 and no error at the end of the stream.
 func readNonBlocking(fd int, b []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, b)
@@ -143,7 +144,7 @@
 	}
 }
 
-// Write writes an answer.
+// Write writes a response.
 func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.listener.lock.Lock()
@@ -154,7 +155,7 @@
 	return n, err
 }
 
-// SetReadDeadline bounds the reads until the connection is shut; from then on nothing is waited for.
+// SetReadDeadline sets the read deadline. It has no effect once the connection is closed for reading: a read must not wait then.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
@@ -164,7 +165,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close is the server's: it has no request of the connection any more. It ends our side, and the rest is linger's.
+// Close is called by the HTTP server when it is done with the connection. It shuts down the write side and leaves the rest to
+// linger, or closes the connection at once if too many are lingering.
 func (c *clientConn) Close() error {
 	l := c.listener
 	l.lock.Lock()
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// markReadClosed notes that the connection is shut, and why if that is not known yet.
+// markReadClosed marks the connection as closed for reading, with the reason if none is set yet. The caller holds the lock.
 func (c *clientConn) markReadClosed(reason closeReason) {
 	c.readClosed = true
 	c.setReason(reason)
@@ -208,29 +210,30 @@
 	}
 }
 
-// evictable tells that the connection may be closed to make room: no request was read whole on it.
+// evictable reports whether the connection may be closed to make room: it has no request in progress, or only one that is not
+// read completely. The caller holds the lock.
 func (c *clientConn) evictable() bool {
 	return !c.readClosed && (!c.requestStarted || !c.requestComplete && !c.responded)
 }
 
-// closeWrite ends our side alone.
+// closeWrite shuts down the write side only.
 func (c *clientConn) closeWrite() {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = halfCloser.CloseWrite()
 	}
 }
 
-// interruptRead ends a read that waits.
+// interruptRead makes a pending read return.
 func (c *clientConn) interruptRead() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// requestReceived notes that a request was read whole. It tells whether the request may be taken up, which it may not once the
-// connection is shut, and whether the connection is to be closed with its answer.
+// requestReceived records that a request was read completely. ok reports whether the request may be processed, which it may
+// not if the connection is closed for reading. closeAfter reports whether the connection is to be closed after the response.
 func (c *clientConn) requestReceived(id string) (ok, closeAfter bool) {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
 	c.requestID = id
 	if c.readClosed && !c.evictedDuringRequest {
-		c.listener.invariants.Report(invariant.ClosedUnanswered, id, "read whole on a connection that was shut: %s", c.reason)
+		c.listener.invariants.Report(invariant.ClosedUnanswered, id, "request read on a connection closed for reading: %s", c.reason)
 		return false, true
 	}
 	if c.listener.open[c] && !c.servedBefore && !c.requestComplete {
@@ -241,15 +244,15 @@
 	return true, c.evictedDuringRequest || c.listener.established > c.listener.maxConns/keepAliveDivisor
 }
 
-// stopCounting notes that a request could not be read: what stands behind it is nothing that anybody can tell.
+// stopCounting records that a request could not be parsed: the bounds of the requests after it cannot be determined.
 func (c *clientConn) stopCounting() {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
 	c.framer.failed = true
 }
 
-// hasPipelinedRequests tells that further requests were read whole behind the one handed in last: closed with its answer, the connection
-// would leave them without any.
+// hasPipelinedRequests reports whether further complete requests were read after the one being handled. They would stay
+// without a response if the connection were closed after this one's.
 func (c *clientConn) hasPipelinedRequests() bool {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
@@ -260,15 +263,15 @@
 	return !c.framer.failed && c.framer.completed > c.handledRequests
 }
 
-// hasUnreadBytes tells that bytes of the client have come that nobody has read yet. Many connections may be accepted before the
-// first of them is read, and a request that has come whole would end without an answer. It does harm only while a
-// client that sends without end is read more slowly than it sends.
+// hasUnreadBytes reports whether bytes have arrived that were not read yet. Many connections may be accepted before the first
+// of them is read, and evicting one would drop a request that arrived completely. The cost is that a client that keeps sending
+// faster than the server reads cannot be evicted.
 func (c *clientConn) hasUnreadBytes() bool {
 	n, _ := c.peek()
 	return n > 0
 }
 
-// peek looks whether bytes have come: how many of the first, or what reading would say.
+// peek returns 1 if bytes have arrived, else 0 and the error that a read would return. 0 and no error is the end of the stream.
 func (c *clientConn) peek() (n int, err error) {
 	if c.rawConn == nil {
 		return 0, syscall.EAGAIN
@@ -279,8 +282,8 @@
 	return max(0, n), errors.Join(err, controlErr)
 }
 
-// peerClosed tells whether the client has ended its side, or the connection broke. With drain, what came before that is read
-// and dropped.
+// peerClosed reports whether the client has closed its side or the connection broke. With discard, it reads and drops the
+// bytes before the end of the stream.
 func (c *clientConn) peerClosed(discard bool) bool {
 	if discard && c.rawConn != nil {
 		return c.discardUntilClosed()
@@ -289,7 +292,7 @@
 	return n == 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// discardUntilClosed drops what has come and tells whether the end came behind it.
+// discardUntilClosed drops the bytes that have arrived and reports whether the end of the stream follows them.
 func (c *clientConn) discardUntilClosed() bool {
 	closed := false
 	err := c.rawConn.Control(func(fd uintptr) {
--- a/intake/clients.go
+++ b/intake/clients.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// keepAliveDivisor is the part of the connections that may stay open after an answer. Where clients come, ask once and stay,
-	// those beyond it are closed with their answer: what they hold is not there for the next who come.
+	// keepAliveDivisor sets the share of connections, 1/keepAliveDivisor of maxConns, that may stay open after a response.
+	// Beyond it connections are closed with their response, so that clients that send one request and stay connected do not
+	// use up the connections.
 	keepAliveDivisor = 3
-	// lingerDivisor is the part of the connections that may, beside those open, still wait for their clients' ends.
+	// lingerDivisor sets how many connections, maxConns/lingerDivisor but at least one, may linger besides the open ones.
 	lingerDivisor = 8
 	lingerTimeout = 500 * time.Millisecond
-	// retryDelay is the pause after an accept that failed.
+	// retryDelay is the pause after a failed accept, and between two looks at the connections while the server stops.
 	retryDelay = 10 * time.Millisecond
 )
 
-// limitListener is a listener with so many connections open at most. Where one more comes, another that has no request
-// open makes room: of those that never sent a whole request the oldest, else the one idle for longest. So clients
-// that connect and say nothing, or half of something, do not shut out those that ask. It does harm where a client
-// takes long over its first request while hundreds connect.
+// limitListener is a listener that limits the number of open connections. When the limit is reached, a new connection evicts
+// one that has no complete request in progress: the oldest of those that never sent a complete request, else the one idle
+// for longest. Thus clients that connect and send nothing or only part of a request cannot lock out the others. A client that
+// is slow with its first request may be evicted while hundreds of others connect.
 type limitListener struct {
 	net.Listener
 	maxConns      int
@@ -35,14 +36,14 @@
 	invariants    *invariant.Counters
 	lock          sync.Mutex
 	open          map[*clientConn]bool
-	established   int // of them those that have sent a whole request
-	lingering     int // and beside them those that wait for their client's end
+	established   int // open connections that have sent a complete request
+	lingering     int // connections, not among the open ones, that wait for their client to close
 	activityCount int
-	stopping      bool // no connection is taken any more: all may linger
+	stopping      bool // the server is stopping: no connection is accepted, and any number may linger
 }
 
-// Accept waits for the next connection. An error of one that failed, or of a machine that has nothing left for one, ends
-// neither the listener nor the process. Where there is no descriptor, a client that has no request open makes room.
+// Accept waits for the next connection. It returns an error only if the listener is closed: it retries after the failure of
+// a single connection or a lack of resources. If there is no file descriptor left, it evicts a connection.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -80,7 +81,7 @@
 	return true
 }
 
-// evictOne closes the connection that can best be done without, and tells whether there was one.
+// evictOne closes one evictable connection and reports whether there was any.
 func (l *limitListener) evictOne() bool {
 	l.lock.Lock()
 	var victim *clientConn
@@ -96,7 +97,7 @@
 	victim.markReadClosed(evictedForRoom)
 	l.remove(victim)
 	midRequest := victim.requestStarted
-	if victim.evictedDuringRequest = midRequest; midRequest { // its request may have been read whole just now: the server closes it
+	if victim.evictedDuringRequest = midRequest; midRequest { // the request may be complete by now: the HTTP server closes the connection
 		victim.interruptRead()
 	}
 	l.lock.Unlock()
@@ -106,7 +107,8 @@
 	return true
 }
 
-// closeIdle ends all connections that have no request open, and tells how many are left, lingering ones included.
+// closeIdle marks the listener as stopping, closes all connections that have no request in progress, and returns the number
+// of connections that are left, including the lingering ones.
 func (l *limitListener) closeIdle() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -128,23 +130,23 @@
 	delete(l.open, c)
 }
 
-// waitClosed waits until no connection is open and none lingers.
+// waitClosed closes connections as they become idle, until none is open or lingering.
 func (l *limitListener) waitClosed() {
 	for l.closeIdle() > 0 {
 		time.Sleep(retryDelay)
 	}
 }
 
-// outOfResources tells that the process, or the machine, has nothing left for another connection.
+// outOfResources reports whether an accept failed because file descriptors or memory are exhausted.
 func outOfResources(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
 		errors.Is(err, syscall.ENOMEM)
 }
 
-// linger keeps a connection that has ended its side until its client has ended its own, but not for long: a close over
-// bytes that came and were not read resets it, and an answer on its way would go with them. Behind a request that was
-// answered nothing is read any more: what comes then is the client's to send again elsewhere. The rest of one that could
-// not be read is, and dropped, since it has its answer.
+// linger keeps a connection whose write side is shut down until the client closes its side or lingerTimeout passes. Closing a
+// socket that holds unread bytes resets the connection, which can destroy a response on its way. After an answered request
+// nothing more is read: the client can see that later requests were not processed and send them elsewhere. With discard, the
+// rest of a request that could not be parsed is read and dropped, since that request was already answered.
 func (l *limitListener) linger(c *clientConn, discard bool) {
 	b := newBackoff(lingerTimeout)
 	for b.wait() {
@@ -158,7 +160,7 @@
 	l.lock.Unlock()
 }
 
-// backoff paces looks at something, ever more seldom, for a time in all.
+// backoff paces polling with increasing delays for a limited total time.
 type backoff struct {
 	deadline time.Time
 	delay    time.Duration
@@ -168,7 +170,7 @@
 	return &backoff{deadline: time.Now().Add(total), delay: time.Millisecond}
 }
 
-// wait pauses, and tells whether it is worth another look.
+// wait sleeps and reports whether to poll again. It is false once the total time has passed.
 func (b *backoff) wait() bool {
 	const maxDelay = 64 * time.Millisecond
 	remaining := time.Until(b.deadline)
@@ -180,7 +182,8 @@
 	return true
 }
 
-// trackState notes that a request has begun to come, that it was answered, or that its connection is closed.
+// trackState records that a request has begun to arrive, that it was answered, or that the connection is closed. It is the
+// ConnState callback of the HTTP server.
 func trackState(conn net.Conn, s fasthttp.ConnState) {
 	c := conn.(*clientConn)
 	c.listener.lock.Lock()
--- a/intake/closing_test.go
+++ b/intake/closing_test.go
@@ -141,7 +141,7 @@
 	r := newTestServer(t)
 	r.serve()
 	conn := r.dial(t)
-	body := strings.Repeat("x", maxBody+1)
+	body := strings.Repeat("x", maxBodyBytes+1)
 	fmt.Fprint(conn, strings.Replace(validRequest, "Length: 2", fmt.Sprint("Length: ", len(body)), 1)+body)
 	waitFor(t, "it is answered and closed on our side", func() bool { open, _ := r.connCounts(); return open == 0 })
 	if resp := readResponse(t, conn); resp.StatusCode != http.StatusBadRequest || !resp.Close {
--- a/intake/framer.go
+++ b/intake/framer.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// framer counts the requests that are whole in the bytes of a connection, as they are taken. The server reads ahead, and
-// what it has read behind a request is dropped where the connection is closed with that one's answer. It follows RFC 9112
-// for what clients send; where it cannot tell where a request ends it counts no more.
+// framer counts the complete requests in the bytes read from a connection. The HTTP server reads ahead, and drops what it has
+// read after a request if it closes the connection with the response. The framing follows RFC 9112. If the end of a request
+// cannot be determined, counting stops.
 type framer struct {
-	head      []byte // of a request whose head is not whole yet
-	bodyLeft  int    // bytes of the present body still to come
-	chunked   bool   // the present body is chunked
-	inTrailer bool   // and its trailer section is coming
-	line      []byte // of a chunk's size or a trailer, not whole yet
+	head      []byte // incomplete head of the current request
+	bodyLeft  int    // bytes of the current body or chunk still to come
+	chunked   bool   // the current body is chunked
+	inTrailer bool   // in the trailer section of a chunked body
+	line      []byte // incomplete chunk-size or trailer line
 	failed    bool
-	completed int // requests so far
+	completed int // complete requests so far
 }
 
-// feed takes bytes in.
+// feed processes bytes that were read.
 func (f *framer) feed(b []byte) {
 	for len(b) > 0 && !f.failed {
 		switch {
@@ -37,10 +37,10 @@
 	}
 }
 
-// feedHead takes in bytes of a head, and gives those behind it.
+// feedHead processes bytes of a head and returns those after it.
 func (f *framer) feedHead(b []byte) []byte {
 	if len(f.head) == 0 {
-		b = bytes.TrimLeft(b, "\r\n") // empty lines before a request mean nothing
+		b = bytes.TrimLeft(b, "\r\n") // empty lines before a request are ignored
 	}
 	for i, c := range b {
 		f.head = append(f.head, c)
@@ -48,14 +48,14 @@
 			f.parseHead()
 			return b[i+1:]
 		}
-		if f.failed = len(f.head) > maxHead; f.failed {
+		if f.failed = len(f.head) > maxHeadBytes; f.failed {
 			return nil
 		}
 	}
 	return nil
 }
 
-// parseHead reads from a whole head where its request ends.
+// parseHead determines from a complete head where its request ends.
 func (f *framer) parseHead() {
 	length, hasLength := 0, false
 	for line := range strings.SplitSeq(string(f.head), "\n") {
@@ -63,13 +63,13 @@
 		switch strings.ToLower(strings.TrimSpace(name)) {
 		case "content-length":
 			n, err := strconv.Atoi(strings.TrimSpace(value))
-			f.failed = f.failed || err != nil || n < 0 || n > maxBody
+			f.failed = f.failed || err != nil || n < 0 || n > maxBodyBytes
 			length, hasLength = n, true
 		case "transfer-encoding":
 			f.chunked = true
 		}
 	}
-	f.failed = f.failed || hasLength && f.chunked // it says in two ways where it ends
+	f.failed = f.failed || hasLength && f.chunked // conflicting lengths
 	if f.head = f.head[:0]; f.failed {
 		return
 	}
@@ -80,12 +80,12 @@
 	}
 }
 
-// feedChunkLine takes in bytes of a chunk's size or of the trailer section, and gives those behind the line.
+// feedChunkLine processes bytes of a chunk-size line or of the trailer section and returns those after the line.
 func (f *framer) feedChunkLine(b []byte) []byte {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
 		f.line = append(f.line, b...)
-		f.failed = len(f.line) > maxHead
+		f.failed = len(f.line) > maxHeadBytes
 		return nil
 	}
 	line := strings.TrimSpace(string(append(f.line, b[:i]...)))
@@ -94,7 +94,7 @@
 	case f.inTrailer && line == "":
 		f.chunked, f.inTrailer = false, false
 		f.completed++
-	case f.inTrailer, line == "": // a trailer, or the line's end behind a chunk
+	case f.inTrailer, line == "": // a trailer field, or the line end after a chunk
 	default:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -1,4 +1,4 @@
-// Package intake takes messages from clients: a request is decoded once into a message, and answered once.
+// Package intake accepts messages from clients over HTTP. Each request is decoded into one message and answered once.
 package intake
 
 import (
@@ -21,45 +21,47 @@
 )
 
 const (
-	maxBody                 = 64 << 10
-	maxHead                 = 4 << 10
-	idleTimeout             = 2200 * time.Millisecond // a client that has asked and keeps its connection
-	ioTimeout               = 2 * time.Second         // from a connection's start, or a further request's first byte, to its last
-	badRequestLogsPerSecond = 10                      // bad requests that the log names in a second
+	maxBodyBytes            = 64 << 10
+	maxHeadBytes            = 4 << 10
+	idleTimeout             = 2200 * time.Millisecond // how long a connection may stay idle between requests
+	ioTimeout               = 2 * time.Second         // for reading a request, from the accept or its first byte, and for writing a response
+	badRequestLogsPerSecond = 10                      // further bad requests of the same second are not logged
 )
 
-// Server answers clients.
+// Server is the HTTP server for clients.
 type Server struct {
 	clock              func() float64
 	ttl                func(topic string) (float64, bool)
 	submit             func(gateway.Event)
-	badRequestLog      zerolog.Logger // of bad requests: a few a second
-	debugLog           zerolog.Logger // of each request and connection, at debug level
+	badRequestLog      zerolog.Logger // for bad requests; rate limited
+	debugLog           zerolog.Logger // for each request and connection, at debug level
 	httpServer         *fasthttp.Server
 	listener           *limitListener
 	closeAfterResponse atomic.Bool
-	writeMetrics       func(io.Writer) // beside the invariants' counts; nil for none
+	writeMetrics       func(io.Writer) // writes further metrics at /_metrics; may be nil
 }
 
-// NewServer returns a server that hands each message to tell, and holds so many connections at most.
+// NewServer returns a server that passes each message to submit and keeps at most maxConns connections open. The clock returns
+// the current time in seconds, and ttl returns the TTL of a topic in seconds and whether the topic is known.
 func NewServer(clock func() float64, ttl func(string) (float64, bool), submit func(gateway.Event), maxConns int,
 	log zerolog.Logger) *Server {
 	s := &Server{clock: clock, ttl: ttl, submit: submit, debugLog: log,
 		badRequestLog: log.Sample(&zerolog.BurstSampler{Burst: badRequestLogsPerSecond, Period: time.Second})}
 	s.listener = &limitListener{maxConns: maxConns, open: map[*clientConn]bool{}, log: log}
-	s.httpServer = &fasthttp.Server{Handler: s.handle, Concurrency: 2 * maxConns, MaxRequestBodySize: maxBody,
-		ReadBufferSize: maxHead, ErrorHandler: s.handleParseError, ConnState: trackState,
+	s.httpServer = &fasthttp.Server{Handler: s.handle, Concurrency: 2 * maxConns, MaxRequestBodySize: maxBodyBytes,
+		ReadBufferSize: maxHeadBytes, ErrorHandler: s.handleParseError, ConnState: trackState,
 		IdleTimeout: idleTimeout, ReadTimeout: ioTimeout, WriteTimeout: ioTimeout, NoDefaultServerHeader: true,
 		NoDefaultContentType: true, Logger: discardLogger{}}
 	return s
 }
 
-// SetMetrics lets what must not happen be counted, and the counts be read at /_metrics, with what more is written there.
+// SetMetrics sets the counters for invariant violations, which /_metrics serves, and a function that writes further metrics
+// there. It must be called before Serve.
 func (s *Server) SetMetrics(invariants *invariant.Counters, writeMetrics func(io.Writer)) {
 	s.listener.invariants, s.writeMetrics = invariants, writeMetrics
 }
 
-// Serve answers on a listener until Close.
+// Serve serves connections from a listener until Close is called.
 func (s *Server) Serve(ln net.Listener) error {
 	s.listener.lock.Lock()
 	s.listener.Listener = ln
@@ -67,17 +69,17 @@
 	return s.httpServer.Serve(s.listener)
 }
 
-// DisableKeepAlives closes each client's connection with its next answer, so that the client goes elsewhere.
+// DisableKeepAlives closes each connection after its next response, so that clients connect elsewhere.
 func (s *Server) DisableKeepAlives() { s.closeAfterResponse.Store(true) }
 
-// Close takes no new connections and no new requests; those of which bytes were taken are answered, and the answers have
-// left when it returns. The library's own Shutdown is not asked: it drops a request that comes as it closes a resting
-// connection, though the request was read.
+// Close stops accepting connections and requests. It answers the requests that it has begun to read, and returns once the
+// responses are written and all connections are closed. It does not use fasthttp's Shutdown, which drops a request that it
+// reads while it closes an idle connection.
 func (s *Server) Close() error {
 	s.listener.lock.Lock()
 	ln := s.listener.Listener
 	s.listener.lock.Unlock()
-	if ln == nil { // it has not served yet
+	if ln == nil { // Serve was not called yet
 		return nil
 	}
 	err := ln.Close()
@@ -85,7 +87,7 @@
 	return err
 }
 
-// handleParseError answers what is no HTTP: where it ends is not known, nor what stands behind it.
+// handleParseError answers a request that fasthttp cannot parse. Its end, and with it any request after it, is unknown.
 func (s *Server) handleParseError(ctx *fasthttp.RequestCtx, err error) {
 	if c, ok := ctx.Conn().(*clientConn); ok {
 		c.stopCounting()
@@ -93,7 +95,7 @@
 	s.rejectRequest(ctx, err)
 }
 
-// rejectRequest answers what is no request, or one that is too large.
+// rejectRequest logs a malformed, oversized or invalid request and answers it with status 400.
 func (s *Server) rejectRequest(ctx *fasthttp.RequestCtx, err error) {
 	s.badRequestLog.Info().Stringer("client", ctx.RemoteAddr()).Err(err).Msg("bad request")
 	ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -105,7 +107,7 @@
 		ctx.SetConnectionClose()
 	}
 	switch path := string(ctx.Path()); {
-	case !ok: // nobody hears an answer any more: what was taken on now would be run unasked
+	case !ok: // the client does not receive the response, so accepting the message would deliver it without the client's knowledge
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	case path == "/_health" && ctx.IsGet():
 		ctx.SetStatusCode(fasthttp.StatusOK)
@@ -124,7 +126,7 @@
 	}
 }
 
-// acceptMessage hands in the message of a request and answers with what becomes of it.
+// acceptMessage submits the message of a request and answers whether it was accepted.
 func (s *Server) acceptMessage(ctx *fasthttp.RequestCtx) {
 	m, err := s.decode(ctx)
 	if err != nil {
@@ -146,7 +148,7 @@
 	}
 }
 
-// decode reads the message of a request. It keeps no part of the request itself.
+// decode returns the message of a request. The message does not refer to memory of the request.
 func (s *Server) decode(ctx *fasthttp.RequestCtx) (*message.Message, error) {
 	h := &ctx.Request.Header
 	if hasConflictingLengths(h.RawHeaders()) {
@@ -174,13 +176,13 @@
 	if err != nil {
 		return nil, err
 	}
-	m.ExpiresAt = s.clock() + min(budget, ttl) // no client's slip holds a message for days
+	m.ExpiresAt = s.clock() + min(budget, ttl) // a mistaken budget must not hold a message for days
 	return m, nil
 }
 
-// hasConflictingLengths tells that a request says in two ways where it ends. Those who read it the other way may find a second
-// request in its body, so nothing of it goes on; the library closes the connection. A client that means no harm
-// never sends both.
+// hasConflictingLengths reports whether a request has both a Content-Length and a Transfer-Encoding. Implementations disagree
+// on where such a request ends, so its body can hide a second request (request smuggling). It is rejected, and
+// fasthttp closes the connection. Well-behaved clients never send both.
 func hasConflictingLengths(head []byte) bool {
 	seen := map[string]bool{}
 	for _, line := range bytes.Split(head, []byte("\n")) {
@@ -192,7 +194,7 @@
 
 func isSeparator(r rune) bool { return r == ' ' || r == ',' || r == ';' }
 
-// parseBudget reads a time: a number and its unit, m for milliseconds or u for microseconds.
+// parseBudget parses a time, a number followed by m for milliseconds or u for microseconds, and returns it in seconds.
 func parseBudget(text string) (float64, error) {
 	unitsPerSecond := map[string]float64{"m": 1e3, "u": 1e6}
 	if n := len(text) - 1; n > 0 {
@@ -204,7 +206,7 @@
 	return 0, fmt.Errorf("X-Budget cannot be %q", text)
 }
 
-// discardLogger drops the library's own lines: a client that goes away is no news.
+// discardLogger discards the log lines of fasthttp: a client that disconnects is not worth logging.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
--- a/push/call.go
+++ b/push/call.go
@@ -31,16 +31,18 @@
 	return size <= maxBatchBody
 }
 
-// CallResult is the result of a call: how each push ended, and what the endpoint reported with its response.
+// CallResult is the result of a call: how each push ended, in the order of the messages, and what the endpoint reported with
+// its response. If HasLoadReport is set, LoadShare is the share of the limit that is left (x0 of X-Load-Report), and LoadLimit
+// is the limit in calls per second (x1).
 type CallResult struct {
-	Ends                []End   // one for each message, in the order of the messages
+	Ends                []End
 	RetryAfter          float64 // seconds, 0 if there was no Retry-After header
-	HasLoadReport       bool    // LoadShare and LoadLimit are set
-	LoadShare           float64 // x0 of X-Load-Report: the share of LoadLimit that is left
-	LoadLimit           float64 // x1 of X-Load-Report, calls per second
-	Reusable            bool    // the connection can carry another call
-	RawPrefix           []byte  // the first bytes of a response that could not be parsed
-	LateResponsePending bool    // the call was abandoned; the caller must call ReadLateRetryAfter, which closes the connection
+	HasLoadReport       bool
+	LoadShare           float64
+	LoadLimit           float64
+	Reusable            bool   // the connection can carry another call
+	RawPrefix           []byte // the first bytes of a response that could not be parsed
+	LateResponsePending bool   // the call was abandoned; the caller must call ReadLateRetryAfter, which closes the connection
 }
 
 // UniformResult returns the result of a call whose n pushes all ended in the same way.
@@ -119,7 +121,6 @@
 	req.SetBodyRaw(body)
 }
 
-// endByState maps the states in the response to a batch to ends.
 var endByState = map[string]End{"done": Delivered, "failed": Failed, "busy": Throttled, "void": AlreadySettled, "used_up": AttemptsExhausted}
 
 // parseBatchStates returns the end of each message of a batch. A message that the response does not list, or lists with an
--- a/push/conn.go
+++ b/push/conn.go
@@ -15,19 +15,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// statusOKLine matches the status line of a response with status 200.
 var statusOKLine = regexp.MustCompile(`^HTTP/1\.[01] 200\b[^\n]*\n`)
 
 // retryAfterLine matches the Retry-After line in the head of a response.
 var retryAfterLine = regexp.MustCompile(`(?i)\r?\nRetry-After:([^\r\n]*)\r?\n`)
 
 const (
-	// minRestTimeout is the least time that the rest of a response may take after its first byte.
-	minRestTimeout = time.Millisecond
+	minResponseRestTimeout = time.Millisecond
 	// chunkedLength is the content length that fasthttp reports for a chunked body.
-	chunkedLength = -1
-	// maxRestTimeout is the most time that the rest of a response may take after its first byte.
-	maxRestTimeout = 250 * time.Millisecond
+	chunkedLength          = -1
+	maxResponseRestTimeout = 250 * time.Millisecond
 	// lateResponseTimeout bounds the wait for a response that the endpoint wrote before it saw that the call was abandoned.
 	lateResponseTimeout = 100 * time.Millisecond
 )
@@ -238,12 +235,13 @@
 	return err
 }
 
-// readHead reads the head of a response. Its deadline, at most maxRestTimeout ahead, also applies to the body, so that a
-// response that never ends holds up neither a slot nor the result of a message. An endpoint that takes longer between the
+// readHead reads the head of a response. The rest of the response has to follow the first byte by the deadline of the call, but
+// within minResponseRestTimeout to maxResponseRestTimeout, so that a response that never ends holds up neither a slot nor the
+// result of a message. An endpoint that takes longer between the
 // first and the last byte of its response gets InvalidResponse.
 func (c *Conn) readHead(resp *fasthttp.Response, deadline time.Time) error {
 	now := time.Now()
-	restDeadline := now.Add(min(maxRestTimeout, max(minRestTimeout, deadline.Sub(now))))
+	restDeadline := now.Add(min(maxResponseRestTimeout, max(minResponseRestTimeout, deadline.Sub(now))))
 	if err := c.conn.SetDeadline(restDeadline); err != nil {
 		return err
 	}
