--- a/intake/clients_test.go
+++ b/intake/clients_test.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// Where one more comes than may be open, a connection whose request has come and is not read yet is kept, and the one
-// that says nothing makes room, though it came later.
+// When the connection limit is reached, a connection whose request has arrived but was not read yet must be kept: evicting it
+// would drop the request. The silent connection is evicted although it is newer.
 func Example_unreadRequest() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	l := &limitListener{Listener: ln, maxConns: 2, open: map[*clientConn]bool{}}
-	asks := dialAndAccept(l)
-	fmt.Fprint(asks, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-	silent := dialAndAccept(l)
-	time.Sleep(20 * time.Millisecond) // loopback has brought the request by then
-	third := dialAndAccept(l)
-	fmt.Println("closed: asks", closedByPeer(asks), "silent", closedByPeer(silent))
-	runtime.KeepAlive(l) // it holds the accepted sides
+	listener := &limitListener{Listener: ln, maxConns: 2, open: map[*clientConn]bool{}}
+	withRequest := dialAndAccept(listener)
+	fmt.Fprint(withRequest, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
+	silent := dialAndAccept(listener)
+	time.Sleep(20 * time.Millisecond) // the request arrives over loopback within this time
+	third := dialAndAccept(listener)
+	fmt.Println("closed: asks", closedByPeer(withRequest), "silent", closedByPeer(silent))
+	runtime.KeepAlive(listener) // keeps the accepted connections from being collected
 	runtime.KeepAlive(third)
 	// Output:
 	// closed: asks false silent true
 }
 
-// dialAndAccept connects and lets the listener accept it; nobody reads.
-func dialAndAccept(l *limitListener) net.Conn {
-	conn, err := net.Dial("tcp", l.Addr().String())
+// dialAndAccept connects and accepts the connection without reading from it.
+func dialAndAccept(listener *limitListener) net.Conn {
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		panic(err)
 	}
-	if _, err := l.Accept(); err != nil {
+	if _, err := listener.Accept(); err != nil {
 		panic(err)
 	}
 	return conn
 }
 
-// closedByPeer tells whether the other side has ended a connection.
+// closedByPeer reports whether the other side has closed a connection.
 func closedByPeer(conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err := conn.Read(make([]byte, 1))
-	e, ok := err.(net.Error)
-	return !ok || !e.Timeout()
+	netErr, ok := err.(net.Error)
+	return !ok || !netErr.Timeout()
 }
--- a/intake/closing_test.go
+++ b/intake/closing_test.go
@@ -24,7 +24,7 @@
 const validRequest = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: a1\r\nX-Call-Class: order\r\nX-Budget: 480m\r\nX-Addressing: dest=7\r\n" +
 	"Content-Length: 2\r\n\r\nhi"
 
-// testServer is a server on loopback that takes on all it is handed.
+// testServer is a server on loopback whose gateway accepts each message.
 type testServer struct {
 	*Server
 	net.Listener
@@ -33,24 +33,24 @@
 
 func newTestServer(t *testing.T) *testServer {
 	t.Helper()
-	r := &testServer{accepted: make(chan string, 99)}
-	r.Server = NewServer(func() float64 { return 1000 }, func(string) (float64, bool) { return 9, true }, func(e gateway.Event) {
-		r.accepted <- e.(gateway.Arrived).Message.ID
+	ts := &testServer{accepted: make(chan string, 99)}
+	ts.Server = NewServer(func() float64 { return 1000 }, func(string) (float64, bool) { return 9, true }, func(e gateway.Event) {
+		ts.accepted <- e.(gateway.Arrived).Message.ID
 		e.(gateway.Arrived).Reply(gateway.Reply{Accepted: true})
 	}, 10, zerolog.Nop())
 	var err error
-	if r.Listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if ts.Listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.Listener.Close() })
-	return r
+	t.Cleanup(func() { ts.Listener.Close() })
+	return ts
 }
 
-func (r *testServer) serve() { go func() { _ = r.Server.Serve(r.Listener) }() }
+func (ts *testServer) serve() { go func() { _ = ts.Server.Serve(ts.Listener) }() }
 
-func (r *testServer) dial(t *testing.T) net.Conn {
+func (ts *testServer) dial(t *testing.T) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.Listener.Addr().String())
+	conn, err := net.Dial("tcp", ts.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,143 +59,143 @@
 	return conn
 }
 
-// waitFor waits until something is so.
-func waitFor(t *testing.T, what string, is func() bool) {
+// waitFor waits until a condition holds, for at most 5 s.
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not within 5 s: %s", what)
+	for deadline := time.Now().Add(5 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition does not hold within 5 s: %s", condition)
 		}
 	}
 }
 
-func (r *testServer) connCounts() (open, lingering int) {
-	r.listener.lock.Lock()
-	defer r.listener.lock.Unlock()
-	return len(r.listener.open), r.listener.lingering
+func (ts *testServer) connCounts() (open, lingering int) {
+	ts.listener.lock.Lock()
+	defer ts.listener.lock.Unlock()
+	return len(ts.listener.open), ts.listener.lingering
 }
 
-// readResponse reads one answer.
+// readResponse reads one response.
 func readResponse(t *testing.T, conn net.Conn) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	return resp
 }
 
-// A request and the end of its connection cross: it is read and answered, or it is not read.
+// A request that arrives while its connection is being closed is either read and answered, or not read at all.
 func TestRequestDuringClose(t *testing.T) {
 	t.Run("answered", readRequestIsAnswered)
 	t.Run("unread", nothingReadAfterClose)
 	t.Run("pipelined", pipelinedRequestsAreAnswered)
 }
 
-// A request whose bytes were taken as its connection is wanted to make room, or ended by a planned stop, is answered: read
-// and closed with no answer it would be lost, though its client may hand it in elsewhere.
+// A request whose bytes are read just as its connection is evicted, or closed by a planned stop, must be answered. If it were
+// read and the connection closed without a response, the request would be lost unless its client sends it elsewhere.
 func readRequestIsAnswered(t *testing.T) {
-	for name, crosses := range map[string]func(*testServer){"room": func(r *testServer) { r.listener.evictOne() },
-		"stop": func(r *testServer) { go func() { _ = r.Server.Close() }(); time.Sleep(150 * time.Millisecond) }} {
-		r := newTestServer(t)
-		r.httpServer.ConnState = func(conn net.Conn, s fasthttp.ConnState) {
-			if s == fasthttp.StateActive { // its first bytes are in the server's hands, and none are left to be seen
-				crosses(r)
+	for name, interfere := range map[string]func(*testServer){"room": func(ts *testServer) { ts.listener.evictOne() },
+		"stop": func(ts *testServer) { go func() { _ = ts.Server.Close() }(); time.Sleep(150 * time.Millisecond) }} {
+		ts := newTestServer(t)
+		ts.httpServer.ConnState = func(conn net.Conn, s fasthttp.ConnState) {
+			if s == fasthttp.StateActive { // the request was read: no unread bytes protect the connection any more
+				interfere(ts)
 			}
 			trackState(conn, s)
 		}
-		r.serve()
-		conn := r.dial(t)
+		ts.serve()
+		conn := ts.dial(t)
 		fmt.Fprint(conn, validRequest)
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusAccepted {
-			t.Errorf("%s: %v, %v", name, resp, err)
+			t.Errorf("%s: got %v, %v", name, resp, err)
 		}
 	}
 }
 
-// What comes on a connection after we ended our side is not read: its client sees that it was not, and hands it in again.
-// A request that was read and dropped would be lost.
+// A request that arrives after the server has closed its side of the connection must not be read: its client then sees that it
+// was not processed and sends it again. A request that was read and dropped would be lost.
 func nothingReadAfterClose(t *testing.T) {
-	r := newTestServer(t)
-	r.serve()
-	conn := r.dial(t)
+	ts := newTestServer(t)
+	ts.serve()
+	conn := ts.dial(t)
 	fmt.Fprint(conn, validRequest)
 	readResponse(t, conn)
-	time.Sleep(20 * time.Millisecond) // it rests by then
+	time.Sleep(20 * time.Millisecond) // the connection is idle by then
 	done := make(chan struct{})
-	go func() { _ = r.Server.Close(); close(done) }()
+	go func() { _ = ts.Server.Close(); close(done) }()
 	if n, err := conn.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	fmt.Fprint(conn, validRequest)
 	<-done
 	time.Sleep(20 * time.Millisecond)
-	if _, err := conn.Write([]byte("x")); err == nil { // a close over bytes that were not read has reset the connection
+	if _, err := conn.Write([]byte("x")); err == nil { // closing a socket with unread bytes resets the connection
 		t.Error("the request was read")
 	}
 }
 
-// A client that sends more than may be read gets its answer, though the rest of what it sent stays unread.
+// A client that sends more than the body limit must get its response, although the rest of the body is not read.
 func TestAnswerBeforeClose(t *testing.T) {
-	r := newTestServer(t)
-	r.serve()
-	conn := r.dial(t)
+	ts := newTestServer(t)
+	ts.serve()
+	conn := ts.dial(t)
 	body := strings.Repeat("x", maxBodyBytes+1)
 	fmt.Fprint(conn, strings.Replace(validRequest, "Length: 2", fmt.Sprint("Length: ", len(body)), 1)+body)
-	waitFor(t, "it is answered and closed on our side", func() bool { open, _ := r.connCounts(); return open == 0 })
+	waitFor(t, "the server answers and closes its side", func() bool { open, _ := ts.connCounts(); return open == 0 })
 	if resp := readResponse(t, conn); resp.StatusCode != http.StatusBadRequest || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
 	}
 	conn.Close()
-	waitFor(t, "nothing lingers", func() bool { open, lingering := r.connCounts(); return open+lingering == 0 })
+	waitFor(t, "no connection lingers", func() bool { open, lingering := ts.connCounts(); return open+lingering == 0 })
 }
 
-// A request that comes on a resting connection after a planned stop has closed it is dropped whole, and resets nothing.
-// Close returns once the client has ended its side, or has been waited for.
+// A request that arrives on an idle connection after a planned stop has closed it is dropped completely and does not reset the
+// connection. Server.Close returns once the client has closed its side or the linger time has passed.
 func TestRequestAfterShutdown(t *testing.T) {
-	r := newTestServer(t)
-	r.serve()
-	conn := r.dial(t)
+	ts := newTestServer(t)
+	ts.serve()
+	conn := ts.dial(t)
 	fmt.Fprint(conn, validRequest)
 	if resp := readResponse(t, conn); resp.StatusCode != http.StatusAccepted {
 		t.Fatal(resp.StatusCode)
 	}
-	<-r.accepted
-	waitFor(t, "it rests", func() bool {
-		r.listener.lock.Lock()
-		defer r.listener.lock.Unlock()
-		for c := range r.listener.open {
+	<-ts.accepted
+	waitFor(t, "the connection is idle", func() bool {
+		ts.listener.lock.Lock()
+		defer ts.listener.lock.Unlock()
+		for c := range ts.listener.open {
 			return c.servedBefore && !c.requestStarted
 		}
 		return false
 	})
 	done := make(chan struct{})
-	begun := time.Now()
-	go func() { _ = r.Server.Close(); close(done) }()
+	start := time.Now()
+	go func() { _ = ts.Server.Close(); close(done) }()
 	if n, err := conn.Read(make([]byte, 1)); err != io.EOF {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	for range 3 { // over a closed socket the first is answered by a reset, and the next fails
+	for range 3 { // on a closed socket the first write would cause a reset and the next one fail
 		if _, err := fmt.Fprint(conn, validRequest); err != nil {
-			t.Errorf("reset: %v", err)
+			t.Errorf("connection reset: %v", err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	<-done
-	if took := time.Since(begun); took < lingerTimeout/2 {
-		t.Errorf("closed after %v, before the client could have been heard", took)
+	if elapsed := time.Since(start); elapsed < lingerTimeout/2 {
+		t.Errorf("closed after %v, without lingering", elapsed)
 	}
-	if len(r.accepted) > 0 {
-		t.Error("a request read after the shutdown was handed in")
+	if len(ts.accepted) > 0 {
+		t.Error("a request read after the shutdown was accepted")
 	}
 }
 
-// Few connections may linger: beyond those a close is a close.
+// The number of lingering connections is limited: beyond the limit a connection is closed at once.
 func TestLingerBound(t *testing.T) {
-	r := newTestServer(t)
-	r.serve()
-	conns := []net.Conn{r.dial(t), r.dial(t), r.dial(t)}
+	ts := newTestServer(t)
+	ts.serve()
+	conns := []net.Conn{ts.dial(t), ts.dial(t), ts.dial(t)}
 	for _, conn := range conns {
 		fmt.Fprint(conn, "what\r\n\r\n")
 	}
@@ -203,109 +203,110 @@
 		if resp := readResponse(t, conn); resp.StatusCode != http.StatusBadRequest {
 			t.Error(resp.StatusCode)
 		}
-		if _, lingering := r.connCounts(); lingering > 1 { // an eighth of ten
-			t.Errorf("%d linger", lingering)
+		if _, lingering := ts.connCounts(); lingering > 1 { // lingerDivisor of 10 connections
+			t.Errorf("%d connections linger, want at most 1", lingering)
 		}
 	}
 }
 
-// A connection that lingers does so for its own time, though the server sets a later one for the request it waits for.
+// A connection lingers for lingerTimeout only, even if the HTTP server sets a later read deadline meanwhile.
 func TestLingerDeadline(t *testing.T) {
-	r := newTestServer(t)
-	r.listener.Listener = r.Listener
-	r.dial(t)
-	c, err := r.listener.Accept()
+	ts := newTestServer(t)
+	ts.listener.Listener = ts.Listener
+	ts.dial(t)
+	c, err := ts.listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
 	_ = c.SetReadDeadline(time.Now().Add(time.Minute))
-	waitFor(t, "it has lingered", func() bool { _, lingering := r.connCounts(); return lingering == 0 })
+	waitFor(t, "the connection has stopped lingering", func() bool { _, lingering := ts.connCounts(); return lingering == 0 })
 }
 
-// failingListener is a listener whose process has no descriptor left for a while.
+// failingListener is a listener whose next accepts fail.
 type failingListener struct {
 	net.Listener
 	failures atomic.Int32
 	err      error // EMFILE if nil
 }
 
-func (s *failingListener) Accept() (net.Conn, error) {
-	if s.failures.Add(-1) >= 0 {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", cmp.Or(s.err, error(syscall.EMFILE)))}
+func (l *failingListener) Accept() (net.Conn, error) {
+	if l.failures.Add(-1) >= 0 {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", cmp.Or(l.err, error(syscall.EMFILE)))}
 	}
-	return s.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-// An accept that fails in any way that Linux documents does not end the listener.
+// An accept error that Linux documents must not end the listener, whichever it is.
 func TestAcceptErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.ENETDOWN,
 		syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 		syscall.EPERM, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT} {
-		r := newTestServer(t)
-		s := &failingListener{Listener: r.Listener, err: errno}
-		s.failures.Store(3)
+		ts := newTestServer(t)
+		l := &failingListener{Listener: ts.Listener, err: errno}
+		l.failures.Store(3)
 		served := make(chan error, 1)
-		go func() { served <- r.Server.Serve(s) }()
-		conn := r.dial(t)
+		go func() { served <- ts.Server.Serve(l) }()
+		conn := ts.dial(t)
 		fmt.Fprint(conn, validRequest)
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusAccepted {
-			t.Errorf("%v: %v, %v", errno, resp, err)
+			t.Errorf("%v: got %v, %v", errno, resp, err)
 		}
 		select {
 		case err := <-served:
-			t.Errorf("%v ended it: %v", errno, err)
+			t.Errorf("%v ended the server: %v", errno, err)
 		default:
 		}
 		conn.Close()
 	}
 }
 
-// Where there is no descriptor for the next client, the one that rests makes room for it.
+// If there is no file descriptor for the next client, an idle connection is evicted.
 func TestEvictionOnDescriptorShortage(t *testing.T) {
-	r := newTestServer(t)
-	s := &failingListener{Listener: r.Listener}
-	r.listener.Listener = s
-	rests := r.dial(t)
-	if _, err := r.listener.Accept(); err != nil {
+	ts := newTestServer(t)
+	l := &failingListener{Listener: ts.Listener}
+	ts.listener.Listener = l
+	idle := ts.dial(t)
+	if _, err := ts.listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	s.failures.Store(1)
-	r.dial(t)
-	if _, err := r.listener.Accept(); err != nil {
+	l.failures.Store(1)
+	ts.dial(t)
+	if _, err := ts.listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := rests.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the one that rests was not closed: %v", err)
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("the idle connection was not closed: %v", err)
 	}
 }
 
-// A client sends many requests at once as the server leaves: each that was read is answered, and the last answer closes.
+// Pipelined requests that arrive after keep-alives are disabled: each request that was read must be answered, and only the last
+// response may close the connection.
 func pipelinedRequestsAreAnswered(t *testing.T) {
-	r := newTestServer(t)
-	r.serve()
-	r.Server.DisableKeepAlives()
-	conn := r.dial(t)
-	text := strings.ReplaceAll(validRequest, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=1\r\ni\r\n0\r\nX: 1\r\n\r\n")
-	fmt.Fprint(conn, validRequest+text+"\r\n"+validRequest)
+	ts := newTestServer(t)
+	ts.serve()
+	ts.Server.DisableKeepAlives()
+	conn := ts.dial(t)
+	chunkedRequest := strings.ReplaceAll(validRequest, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n1\r\nh\r\n1;x=1\r\ni\r\n0\r\nX: 1\r\n\r\n")
+	fmt.Fprint(conn, validRequest+chunkedRequest+"\r\n"+validRequest)
 	in := bufio.NewReader(conn)
-	for i, last := range []bool{false, false, true} {
+	for i, wantClose := range []bool{false, false, true} {
 		resp, err := http.ReadResponse(in, nil)
-		if err != nil || resp.StatusCode != http.StatusAccepted || resp.Close != last {
-			t.Fatalf("request %d: %v, %v", i+1, resp, err)
+		if err != nil || resp.StatusCode != http.StatusAccepted || resp.Close != wantClose {
+			t.Fatalf("request %d: got %v, %v", i+1, resp, err)
 		}
 	}
 }
 
-// What stands behind a request that cannot be read is no request left without an answer.
+// Bytes after a request that cannot be parsed must not count as requests that were left unanswered.
 func TestRequestsAfterBadRequest(t *testing.T) {
 	for _, bad := range []string{"what\r\n\r\n", strings.Replace(validRequest, "X-Budget: 480m", "X-Budget: long", 1),
 		"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"} {
-		r := newTestServer(t)
+		ts := newTestServer(t)
 		counts := &invariant.Counters{}
-		r.SetMetrics(counts, nil)
-		r.serve()
-		conn := r.dial(t)
+		ts.SetMetrics(counts, nil)
+		ts.serve()
+		conn := ts.dial(t)
 		fmt.Fprint(conn, validRequest+bad+validRequest+validRequest)
 		in := bufio.NewReader(conn)
 		for {
@@ -314,14 +315,14 @@
 			}
 		}
 		conn.Close()
-		waitFor(t, "it is closed", func() bool { open, lingering := r.connCounts(); return open+lingering == 0 })
+		waitFor(t, "the connection is closed", func() bool { open, lingering := ts.connCounts(); return open+lingering == 0 })
 		if n := counts.Count(invariant.ClosedUnanswered); n != 0 {
-			t.Errorf("behind %q: %d counted", bad, n)
+			t.Errorf("after %q: %d violations counted", bad, n)
 		}
 	}
 }
 
-// Requests are counted whatever pieces they come in; what is no request ends the count.
+// The count of requests must not depend on how the bytes are split. A malformed request ends the count.
 func TestFramer(t *testing.T) {
 	chunked := "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
 	for text, want := range map[string]int{"GET / HTTP/1.1\r\n\r\n": 1, validRequest: 1, validRequest + validRequest: 2, chunked: 1, chunked + validRequest + chunked: 3,
@@ -333,25 +334,25 @@
 				f.feed([]byte(rest[:min(piece, len(rest))]))
 			}
 			if f.completed != want {
-				t.Fatalf("%q in pieces of %d: %d, want %d", text, piece, f.completed, want)
+				t.Fatalf("%q in pieces of %d bytes: got %d requests, want %d", text, piece, f.completed, want)
 			}
 		}
 	}
 }
 
-// The checks on connections fail where they should: a close that leaves a request without its answer, and bytes taken after
-// the end.
+// The invariant checks on connections detect their violations: a close that leaves a request unanswered, and bytes read after
+// the connection was closed for reading.
 func TestViolationsAreCounted(t *testing.T) {
 	counts := &invariant.Counters{}
-	for name, do := range map[invariant.Name]func(*clientConn){
+	for name, violate := range map[invariant.Name]func(*clientConn){
 		invariant.ClosedUnanswered: func(c *clientConn) { c.requestStarted, c.requestComplete = true, true; _ = c.Close() },
 		invariant.ReadAfterClose:   func(c *clientConn) { c.markReadClosed(serverStopping); c.acceptBytes([]byte("x")) },
 	} {
-		ours, theirs := net.Pipe()
-		defer theirs.Close()
-		do(newClientConn(&limitListener{maxConns: 9, open: map[*clientConn]bool{}, invariants: counts}, ours))
+		server, client := net.Pipe()
+		defer client.Close()
+		violate(newClientConn(&limitListener{maxConns: 9, open: map[*clientConn]bool{}, invariants: counts}, server))
 		if counts.Count(name) != 1 {
-			t.Errorf("%s counted %d times", name, counts.Count(name))
+			t.Errorf("%s counted %d times, want 1", name, counts.Count(name))
 		}
 	}
 }
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -19,10 +19,12 @@
 const validRequest = "POST /api HTTP/1.1\nHost: origin.svc\nX-Call-Id: a1\nX-Call-Class: order\nX-Caller: acme\n" +
 	"Cookie: about=7f3a\nX-Budget: 480m\nIdempotency-Key: 5c0f\nContent-Length: 5\nX-Addressing: dest=7\n\nhello"
 
-const fewConns, manyConns = 10, 100 // connections: with plenty a closed one that the server has not seen end yet changes nothing
+const fewConns, manyConns = 10, 100 // connection limits; with manyConns, closed connections that still count do not matter
 
-// start serves with a gateway that takes on or refuses, and gives its address.
-func start(reply gateway.Reply) (*intake.Server, string) { return startOn(listen(), manyConns, reply) }
+// startServer starts a server whose gateway gives the same reply to each message. It returns the server and its address.
+func startServer(reply gateway.Reply) (*intake.Server, string) {
+	return startServerOn(listen(), manyConns, reply)
+}
 
 func listen() net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,26 +34,26 @@
 	return ln
 }
 
-func startOn(ln net.Listener, conns int, reply gateway.Reply) (*intake.Server, string) {
+func startServerOn(ln net.Listener, maxConns int, reply gateway.Reply) (*intake.Server, string) {
 	ttl := func(topic string) (float64, bool) { return 9, topic == "order" }
 	s := intake.NewServer(func() float64 { return 1000 }, ttl, func(e gateway.Event) {
 		m := e.(gateway.Arrived).Message
 		fmt.Printf("%s %s %s %s %q until %g: %q %q\n", m.ID, m.Topic, m.Tenant, m.Dest, m.Key, m.ExpiresAt, m.IdempotencyKey, m.Body)
 		e.(gateway.Arrived).Reply(reply)
-	}, conns, zerolog.Nop())
+	}, maxConns, zerolog.Nop())
 	go func() { _ = s.Serve(ln) }()
 	return s, ln.Addr().String()
 }
 
-// sendAndPrint sends a request and prints the answer.
-func sendAndPrint(addr, text string) {
+// sendAndPrint sends a request and prints the response.
+func sendAndPrint(addr, request string) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	defer conn.Close()
-	fmt.Fprint(conn, strings.ReplaceAll(text, "\n", "\r\n"))
+	fmt.Fprint(conn, strings.ReplaceAll(request, "\n", "\r\n"))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		fmt.Println(err)
@@ -60,14 +62,14 @@
 	fmt.Println(resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close)
 }
 
-// Messages that are taken on and refused; one with neither key nor mark; a server about to leave.
+// Accepted and refused messages, one without key and idempotency key, and a server with keep-alives disabled.
 func Example_messages() {
-	_, addr := start(gateway.Reply{Accepted: true})
+	_, addr := startServer(gateway.Reply{Accepted: true})
 	sendAndPrint(addr, validRequest)
 	sendAndPrint(addr, strings.NewReplacer("Cookie: about=7f3a\n", "", "Idempotency-Key: 5c0f\n", "", "480m", "250000u").Replace(validRequest))
 	sendAndPrint(addr, strings.Replace(validRequest, "480m", "99999999m", 1))
 	sendAndPrint(addr, "GET /_health HTTP/1.1\nHost: a\n\n")
-	s, addr := start(gateway.Reply{RetryIn: 0.25})
+	s, addr := startServer(gateway.Reply{RetryIn: 0.25})
 	s.DisableKeepAlives()
 	sendAndPrint(addr, validRequest)
 	// Output:
@@ -82,9 +84,9 @@
 	// 503 0.250 true
 }
 
-// Bad requests are answered with 400, and never reach the gateway.
+// Bad requests are answered with an error status and do not reach the gateway.
 func Example_badRequests() {
-	_, addr := start(gateway.Reply{Accepted: true})
+	_, addr := startServer(gateway.Reply{Accepted: true})
 	for _, change := range [][2]string{{"X-Call-Id: a1\n", ""}, {"order", "letter"}, {"dest=7", "dest=x"},
 		{"dest=7", "to=7"}, {"480m", "480"}, {"480m", "-1m"}, {"480m", "NaNm"}, {"X-Budget: 480m\n", ""},
 		{"Length: 5", "Length: 65537"}, {"POST", "GET"}, {"/api", "/other"}, {"HTTP/1.1", "what"},
@@ -109,47 +111,47 @@
 	// "Length: -5" for "Length: 5": 400  true
 }
 
-// A request that says in two ways where it ends goes no further, and neither does one hidden in its body.
+// A request with both Content-Length and Transfer-Encoding is rejected, and a request smuggled in its body is not processed.
 func Example_requestSmuggling() {
-	_, addr := start(gateway.Reply{Accepted: true})
+	_, addr := startServer(gateway.Reply{Accepted: true})
 	sendAndPrint(addr, strings.NewReplacer("Length: 5", "Length: 5\nTransfer-Encoding: chunked", "hello", "0\n\n"+validRequest).Replace(validRequest))
 	// Output:
 	// 400  true
 }
 
-// Connections that say nothing, or half of something, make room for one that asks, and end within the time. The oldest go: each
-// has been read before the next comes, as one that is not read yet is passed over (Example_unread), and who goes is not
-// what this is about then. Before, the test left that to chance, and another went in one of some hundred runs.
+// Connections that send nothing or only part of a request are evicted to admit one with a request, the oldest first, and the
+// others end by timeout. Each connection is read before the next one connects: one that is not read yet would be passed over
+// (Example_unreadRequest), and in one of some hundred runs another connection would be evicted.
 func Example_silentClients() {
 	read := make(chan bool, 64)
-	_, addr := startOn(readNotifyListener{listen(), read}, fewConns, gateway.Reply{Accepted: true})
+	_, addr := startServerOn(readNotifyListener{listen(), read}, fewConns, gateway.Reply{Accepted: true})
 	idle, _ := net.Dial("tcp", addr)
 	fmt.Fprint(idle, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
 	_, _ = http.ReadResponse(bufio.NewReader(idle), nil)
 	<-read
-	begun := time.Now()
-	ended := make([]chan time.Duration, 15)
-	for i := range ended {
+	startTime := time.Now()
+	closedAfter := make([]chan time.Duration, 15)
+	for i := range closedAfter {
 		conn, _ := net.Dial("tcp", addr)
 		fmt.Fprint(conn, "POST /api HTTP/1.1\r\nX-Call-Id: ")
 		<-read
-		ended[i] = make(chan time.Duration, 1)
+		closedAfter[i] = make(chan time.Duration, 1)
 		go func() {
 			_, _ = io.Copy(io.Discard, conn)
-			ended[i] <- time.Since(begun)
+			closedAfter[i] <- time.Since(startTime)
 		}()
 	}
 	sendAndPrint(addr, validRequest)
 	fmt.Fprint(idle, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(idle), nil)
 	fmt.Println(resp.StatusCode, err)
-	order, last := "", time.Duration(0)
-	for _, end := range ended {
-		at := <-end
-		last = max(last, at)
-		order += map[bool]string{true: "x", false: "."}[at < time.Second]
+	evicted, last := "", time.Duration(0)
+	for _, closed := range closedAfter {
+		elapsed := <-closed
+		last = max(last, elapsed)
+		evicted += map[bool]string{true: "x", false: "."}[elapsed < time.Second]
 	}
-	fmt.Println(order, last < 3*time.Second)
+	fmt.Println(evicted, last < 3*time.Second)
 	// Output:
 	// a1 order acme 7 "7f3a" until 1000.48: "5c0f" "hello"
 	// 202  false
@@ -157,7 +159,7 @@
 	// xxxxxxx........ true
 }
 
-// readNotifyListener is a listener whose connections tell when something of them was read.
+// readNotifyListener is a listener whose connections send to read when bytes were read from them.
 type readNotifyListener struct {
 	net.Listener
 	read chan bool
@@ -186,7 +188,7 @@
 	read chan bool
 }
 
-// Read tells when bytes that had come are there no more.
+// Read calls f until it is done, and sends to read if f consumed bytes.
 func (w readNotifyRawConn) Read(f func(uintptr) bool) error {
 	return w.RawConn.Read(func(fd uintptr) bool {
 		n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -198,15 +200,16 @@
 	})
 }
 
-// Clients that ask once and stay: beyond a third of the connections they are closed with their answer.
+// Clients that send one request and stay connected: beyond a third of the connection limit, connections are closed with their
+// response.
 func Example_keepAliveLimit() {
-	_, addr := startOn(listen(), fewConns, gateway.Reply{Accepted: true})
+	_, addr := startServerOn(listen(), fewConns, gateway.Reply{Accepted: true})
 	for range 5 {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			panic(err)
 		}
-		defer conn.Close() // open to the end: the crowd is those that stay, and a connection that nobody holds is collected
+		defer conn.Close() // stays open to the end: a connection without references would be collected and closed
 		fmt.Fprint(conn, "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		fmt.Println(resp.StatusCode, resp.Close, err)
--- a/push/conn.go
+++ b/push/conn.go
@@ -235,9 +235,9 @@
 	return err
 }
 
-// readHead reads the head of a response. The rest of the response has to follow the first byte by the deadline of the call, but
-// within minResponseRestTimeout to maxResponseRestTimeout, so that a response that never ends holds up neither a slot nor the
-// result of a message. An endpoint that takes longer between the
+// readHead reads the head of a response. All of the response has to arrive by the deadline of the call, but gets at least
+// minResponseRestTimeout and at most maxResponseRestTimeout from here, so that a response that never ends holds up neither a
+// slot nor the result of a message. An endpoint that takes longer between the
 // first and the last byte of its response gets InvalidResponse.
 func (c *Conn) readHead(resp *fasthttp.Response, deadline time.Time) error {
 	now := time.Now()
--- a/push/cuts_test.go
+++ b/push/cuts_test.go
@@ -15,7 +15,7 @@
 	"orchiddrift/message"
 )
 
-// scriptedConn is a connection on which an answer comes and then an error: io.EOF for a FIN, ECONNRESET for a reset.
+// scriptedConn is a connection that yields a response and then a read error: io.EOF for a FIN, ECONNRESET for a reset.
 type scriptedConn struct {
 	net.Conn
 	response io.Reader
@@ -33,22 +33,22 @@
 	return 0, s.readErr
 }
 
-// resultOf sends a call with so many messages, to which the text and then the error come.
-func resultOf(text string, end error, messages int) CallResult {
-	s := &scriptedConn{response: strings.NewReader(text), readErr: end}
+// resultOf sends a call with count messages over a connection that yields the response and then the read error.
+func resultOf(response string, readErr error, count int) CallResult {
+	s := &scriptedConn{response: strings.NewReader(response), readErr: readErr}
 	c := &Conn{addr: "e1:80", conn: s, reader: bufio.NewReader(s), writer: bufio.NewWriter(&bytes.Buffer{})}
-	var list []*message.Message
-	for i := range messages {
+	var messages []*message.Message
+	for i := range count {
 		m := &message.Message{Body: []byte("hello")}
 		m.ID = fmt.Sprint("m", i)
-		list = append(list, m)
+		messages = append(messages, m)
 	}
-	return c.Send(list, 1)
+	return c.Send(messages, 1)
 }
 
-// Every kind of answer, cut at every byte by a FIN and by a reset. Several messages are delivered by a whole answer alone
-// (its last chunk, its trailer section and the empty line behind them included); one message is once the first line that
-// reads 200 has come. A cut answer is never taken for a connection that can be used again.
+// Truncates each kind of response at each byte, by a FIN and by a reset. A batch must count as delivered only if the response
+// is complete, including the last chunk, the trailer section and the final empty line. A single message counts as delivered
+// once a status line with 200 has arrived. A connection with a truncated response must not be reused.
 func TestTruncatedResponses(t *testing.T) {
 	const states = `[{"id":"m0","state":"done"},{"id":"m1","state":"done"}]`
 	sized := func(head string) string {
@@ -56,67 +56,67 @@
 	}
 	chunks := fmt.Sprintf("14\r\n%s\r\n%x;x=1\r\n%s\r\n0\r\n", states[:20], len(states)-20, states[20:])
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-	for name, kind := range map[string]struct {
-		text   string
-		closes bool // the end of the connection ends the answer
-		close  bool // the answer asks for it
+	for name, test := range map[string]struct {
+		text            string
+		untilClose      bool // the response ends when the connection is closed
+		connectionClose bool // the response has Connection: close, or ends with the connection
 	}{
 		"length":       {text: sized("")},
-		"length close": {text: sized("Connection: close\r\n"), close: true},
+		"length close": {text: sized("Connection: close\r\n"), connectionClose: true},
 		"interim":      {text: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + sized("")},
 		"chunked":      {text: chunked + "\r\n" + chunks + "\r\n"},
 		"trailers":     {text: chunked + "Trailer: X-A, X-B\r\n\r\n" + chunks + "X-A: 1\r\nX-B: 22\r\n\r\n"},
-		"until close":  {text: "HTTP/1.1 200 OK\r\nX-A: 1\r\n\r\n" + states, closes: true, close: true},
+		"until close":  {text: "HTTP/1.1 200 OK\r\nX-A: 1\r\n\r\n" + states, untilClose: true, connectionClose: true},
 	} {
-		first := strings.Index(kind.text, "200 OK\r\n") + len("200 OK\r\n")
-		for cut := range len(kind.text) + 1 {
-			for _, end := range []error{io.EOF, syscall.ECONNRESET} {
-				whole := cut == len(kind.text) && (!kind.closes || end == io.EOF)
+		statusLineEnd := strings.Index(test.text, "200 OK\r\n") + len("200 OK\r\n")
+		for cut := range len(test.text) + 1 {
+			for _, readErr := range []error{io.EOF, syscall.ECONNRESET} {
+				complete := cut == len(test.text) && (!test.untilClose || readErr == io.EOF)
 				want := InvalidResponse
 				if cut == 0 {
 					want = ConnectionLost
 				}
 				batch, single := want, want
-				if whole {
+				if complete {
 					batch = Delivered
 				}
-				if cut >= first {
+				if cut >= statusLineEnd {
 					single = Delivered
 				}
-				at := fmt.Sprintf("%s, %v after %q", name, end, kind.text[:cut])
-				if a := resultOf(kind.text[:cut], end, 2); a.Ends[0] != batch || a.Ends[1] != batch || a.Reusable != (whole && !kind.close) {
-					t.Errorf("%s: two messages: %v, reusable %v, not %v", at, a.Ends, a.Reusable, batch)
+				where := fmt.Sprintf("%s, %v after %q", name, readErr, test.text[:cut])
+				if result := resultOf(test.text[:cut], readErr, 2); result.Ends[0] != batch || result.Ends[1] != batch || result.Reusable != (complete && !test.connectionClose) {
+					t.Errorf("%s: two messages: got %v, reusable %v, want %v", where, result.Ends, result.Reusable, batch)
 				}
-				if a := resultOf(kind.text[:cut], end, 1); a.Ends[0] != single || a.Reusable != (whole && !kind.close) {
-					t.Errorf("%s: one message: %v, reusable %v, not %v", at, a.Ends, a.Reusable, single)
+				if result := resultOf(test.text[:cut], readErr, 1); result.Ends[0] != single || result.Reusable != (complete && !test.connectionClose) {
+					t.Errorf("%s: one message: got %v, reusable %v, want %v", where, result.Ends, result.Reusable, single)
 				}
 			}
 		}
 	}
 }
 
-// Whatever comes is never read as delivered for several messages unless the standard library reads it whole as well.
+// A response that counts as delivered for a batch must be complete for net/http as well.
 func FuzzAnswer(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1b\r\n[{\"id\":\"m0\",\"state\":\"done\"}]\r\n0\r\nX: 1\r\n\r\n")
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 27\r\nRetry-After: 1.5\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}]")
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n\r\n")
-	f.Fuzz(func(t *testing.T, text string) {
-		a := resultOf(text, io.EOF, 2)
-		if a.RetryAfter < 0 || a.LoadShare < 0 || a.LoadLimit < 0 {
-			t.Fatalf("%q: wait %v, share %v, limit %v", text, a.RetryAfter, a.LoadShare, a.LoadLimit)
+	f.Fuzz(func(t *testing.T, response string) {
+		result := resultOf(response, io.EOF, 2)
+		if result.RetryAfter < 0 || result.LoadShare < 0 || result.LoadLimit < 0 {
+			t.Fatalf("%q: wait %v, share %v, limit %v", response, result.RetryAfter, result.LoadShare, result.LoadLimit)
 		}
-		if a.Ends[0] != Delivered && a.Ends[1] != Delivered {
+		if result.Ends[0] != Delivered && result.Ends[1] != Delivered {
 			return
 		}
-		in := bufio.NewReader(strings.NewReader(text))
+		in := bufio.NewReader(strings.NewReader(response))
 		for {
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
-				t.Skip("read more strictly there")
+				t.Skip("net/http rejects the response")
 			}
 			if resp.StatusCode >= 200 {
 				if _, err := io.ReadAll(resp.Body); err != nil && strings.Contains(err.Error(), "unexpected EOF") {
-					t.Fatalf("%q: %v, and the answer is cut: %v", text, a.Ends, err)
+					t.Fatalf("%q: got %v for a truncated response: %v", response, result.Ends, err)
 				}
 				return
 			}
@@ -124,11 +124,12 @@
 	})
 }
 
-// A connection that the system gives up (ETIMEDOUT, EHOSTUNREACH) broke; it is not the silence that our own deadline ends.
+// A connection that the system gives up (ETIMEDOUT, EHOSTUNREACH) must end as ConnectionLost. Its error also reports Timeout, so
+// it can be mistaken for the expiry of the call's own deadline.
 func TestSystemTimeoutIsConnectionLost(t *testing.T) {
 	for _, errno := range []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
-		if a := resultOf("", errno, 1); a.Ends[0] != ConnectionLost || a.LateResponsePending {
-			t.Errorf("%v before any byte: %v, late %v", errno, a.Ends, a.LateResponsePending)
+		if result := resultOf("", errno, 1); result.Ends[0] != ConnectionLost || result.LateResponsePending {
+			t.Errorf("%v before any byte: %v, late %v", errno, result.Ends, result.LateResponsePending)
 		}
 	}
 }
--- a/push/late_test.go
+++ b/push/late_test.go
@@ -10,22 +10,23 @@
 	"orchiddrift/push"
 )
 
-// An endpoint writes its answer in the moment in which the call is given up: here it waits for our end, so the two always
-// cross. The call stays silent, whatever the answer says; a wait that stands in it is heard, also where the rest is cut off.
+// An endpoint may write its response just as the call is abandoned. Here the endpoint waits for the half close, so that this
+// always happens. The call ends as ResponseTimeout whatever the response says, but a Retry-After in it must be returned, even
+// if the rest of the response is missing.
 func Example_lateResponse() {
-	for _, text := range []string{
+	for _, response := range []string{
 		"HTTP/1.1 429 Too Many Requests\r\nretry-after: 2.5\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1.5\r\nConte",
 		"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1.",
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
 		"",
 	} {
-		ended := make(chan bool, 1)
-		conn, _ := push.Dial(startLateEndpoint(text, ended), 1)
-		a := conn.Send([]*message.Message{newMessage("a")}, 0.03)
-		begun := time.Now()
+		sawEnd := make(chan bool, 1)
+		conn, _ := push.Dial(startLateEndpoint(response, sawEnd), 1)
+		result := conn.Send([]*message.Message{newMessage("a")}, 0.03)
+		start := time.Now()
 		wait := conn.ReadLateRetryAfter()
-		fmt.Println(a.Ends, a.LateResponsePending, wait, time.Since(begun) < time.Second, <-ended)
+		fmt.Println(result.Ends, result.LateResponsePending, wait, time.Since(start) < time.Second, <-sawEnd)
 	}
 	// Output:
 	// [silent] true 2.5 true true
@@ -35,9 +36,9 @@
 	// [silent] true 0 true true
 }
 
-// startLateEndpoint is an endpoint that reads until the other side has ended, and only then writes; nothing at all for "". It tells
-// once it has seen that end.
-func startLateEndpoint(text string, ended chan<- bool) string {
+// startLateEndpoint starts an endpoint that writes its response only after the caller has shut down its write side. It sends to
+// sawEnd whether it saw that. It returns its address.
+func startLateEndpoint(response string, sawEnd chan<- bool) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -48,8 +49,8 @@
 			return
 		}
 		_, err = io.Copy(io.Discard, conn)
-		_, _ = io.WriteString(conn, text)
-		ended <- err == nil
+		_, _ = io.WriteString(conn, response)
+		sawEnd <- err == nil
 		_, _ = io.Copy(io.Discard, conn)
 		_ = ln.Close()
 	}()
--- a/push/push_test.go
+++ b/push/push_test.go
@@ -13,8 +13,9 @@
 	"orchiddrift/push"
 )
 
-// startEndpoint answers each connection's requests with the texts, then closes it; "hang" answers nothing.
-func startEndpoint(show bool, texts ...string) string {
+// startEndpoint starts an endpoint and returns its address. It answers the requests of each connection with the responses in
+// turn, then closes the connection. The response "hang" stands for no response.
+func startEndpoint(printRequests bool, responses ...string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -25,30 +26,30 @@
 			if err != nil {
 				return
 			}
-			go serveResponses(conn, show, texts)
+			go serveResponses(conn, printRequests, responses)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-func serveResponses(conn net.Conn, show bool, texts []string) {
+func serveResponses(conn net.Conn, printRequests bool, responses []string) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
-	for _, text := range texts {
+	for _, response := range responses {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
 		body, _ := io.ReadAll(req.Body)
-		if show {
+		if printRequests {
 			fmt.Println(req.Method, req.URL, req.Header.Get("X-Call-Id"), req.Header.Get("Idempotency-Key"),
 				req.Header.Get("X-Budget"), string(body))
 		}
-		if text == "hang" {
+		if response == "hang" {
 			time.Sleep(time.Second)
 			return
 		}
-		fmt.Fprint(conn, strings.ReplaceAll(text, "\n", "\r\n"))
+		fmt.Fprint(conn, strings.ReplaceAll(response, "\n", "\r\n"))
 	}
 }
 
@@ -58,26 +59,26 @@
 	return m
 }
 
-func sendAndPrint(addr string, wait float64, list ...*message.Message) {
+func sendAndPrint(addr string, timeout float64, messages ...*message.Message) {
 	conn, end := push.Dial(addr, 1)
 	if conn == nil {
 		fmt.Println(end)
 		return
 	}
-	a := conn.Send(list, wait)
-	fmt.Println(a.Ends, a.RetryAfter, a.HasLoadReport, a.LoadShare, a.LoadLimit, a.Reusable)
+	result := conn.Send(messages, timeout)
+	fmt.Println(result.Ends, result.RetryAfter, result.HasLoadReport, result.LoadShare, result.LoadLimit, result.Reusable)
 	conn.Close()
 }
 
-// Every answer and every way in which a connection ends.
+// The end of a call for each response status and each way in which a connection can fail.
 func Example_ends() {
-	for _, text := range []string{
+	for _, response := range []string{
 		"HTTP/1.1 200 OK\nContent-Length: 2\n\nok",
 		"HTTP/1.1 200 OK\nX-Load-Report: TEXT x0=0.4, x1=25\nContent-Length: 0\n\n",
 		"HTTP/1.1 200 OK\nX-Load-Report: TEXT x0=NaN, x1=25\nConnection: close\nContent-Length: 0\n\n",
 		"HTTP/1.1 102 Processing\n\nHTTP/1.1 200 OK\nContent-Length: 0\n\n",
 		"HTTP/1.1 204 No Content\n\n",
-		"HTTP/1.1 200 OK\nContent-Le", // delivered once the first line has come
+		"HTTP/1.1 200 OK\nContent-Le", // delivered, since the status line is complete
 		"HTTP/1.1 500 Internal Server Error\nContent-Length: 0\n\n",
 		"HTTP/1.1 429 Too Many Requests\nRetry-After: 0.75\nContent-Length: 0\n\n",
 		"HTTP/1.1 429 Too Many Requests\nRetry-After: soon\nContent-Length: 0\n\n",
@@ -90,7 +91,7 @@
 		"HTTP/1.1 418 I'm a teapot\nContent-Length: 0\n\n",
 		"HTTP/1.1 20", "gibberish\n\n", "", "hang",
 	} {
-		sendAndPrint(startEndpoint(false, text), 0.2, newMessage("a"))
+		sendAndPrint(startEndpoint(false, response), 0.2, newMessage("a"))
 	}
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	ln.Close()
@@ -119,14 +120,15 @@
 	// refused
 }
 
-// What is sent: a message alone goes as it is, several go as a list and end one by one. Nothing goes twice.
+// A single message is sent to /hook as it is. Several are sent to /hook/batch as a list, and each has its own end. Nothing is
+// sent twice.
 func Example_calls() {
 	sendAndPrint(startEndpoint(true, "HTTP/1.1 200 OK\nContent-Length: 0\n\n"), 1.5, newMessage("a"))
 	states := `[{"id":"c","state":"busy"},{"id":"a","state":"done"},{"id":"b","state":"failed"},` +
 		`{"id":"d","state":"void"},{"id":"e","state":"used_up"},{"id":"f","state":"odd"}]`
 	head := fmt.Sprintf("HTTP/1.1 200 OK\nRetry-After: 0.3\nContent-Length: %d\n\n", len(states))
-	list := []*message.Message{newMessage("a"), newMessage("b"), newMessage("c"), newMessage("d"), newMessage("e"), newMessage("f"), newMessage("g")}
-	sendAndPrint(startEndpoint(true, head+states), 1.5, list...)
+	messages := []*message.Message{newMessage("a"), newMessage("b"), newMessage("c"), newMessage("d"), newMessage("e"), newMessage("f"), newMessage("g")}
+	sendAndPrint(startEndpoint(true, head+states), 1.5, messages...)
 	sendAndPrint(startEndpoint(false, "HTTP/1.1 503 Service Unavailable\nContent-Length: 0\n\n"), 1.5, newMessage("a"), newMessage("b"))
 	sendAndPrint(startEndpoint(true, ""), 1.5, newMessage("a"))
 	// Output:
@@ -139,7 +141,8 @@
 	// [broke late] 0 false 0 0 false
 }
 
-// A connection left idle is alive until the other side closes it, also past the last call's time. Closing it ourselves ends a call on it.
+// An idle connection stays alive until the endpoint closes it, also after the deadline of its last call. Close ends a call in
+// progress as Cancelled.
 func Example_idle() {
 	const done = "HTTP/1.1 200 OK\nContent-Length: 0\n\n"
 	conn, _ := push.Dial(startEndpoint(false, done, done), 1)
@@ -147,7 +150,7 @@
 	time.Sleep(60 * time.Millisecond)
 	fmt.Println(conn.Alive())
 	conn.Send([]*message.Message{newMessage("b")}, 1)
-	for conn.Alive() { // the endpoint closes it now
+	for conn.Alive() { // the endpoint closes the connection now
 		time.Sleep(time.Millisecond)
 	}
 	fmt.Println(conn.Alive())
@@ -160,12 +163,12 @@
 	// [cut off]
 }
 
-// Spoilt answers on connections that stay open: true alone if the first line reads 200, else they may have run
-// whatever their head says; none is waited for to the end of the call's time. What comes behind an answer ends its
-// connection.
+// Malformed responses on connections that stay open. A single message counts as delivered if the status line says 200. Else the
+// push may have run, whatever the head says. No such response may hold up the call until its deadline. Bytes after a complete
+// response make its connection unusable.
 func Example_malformedResponses() {
-	begun := time.Now()
-	for _, text := range []string{
+	start := time.Now()
+	for _, response := range []string{
 		"HTTP/1.1 200 OK\nContent-Length: 9\n\nhalf", "HTTP/1.1 200 OK\nX-No-End: 1\n", "HTTP/1.1 200 OK\n\n",
 		"HTTP/1.1 200 OK\nContent-Length: 3000000000\n\nlots", "HTTP/1.1 200 OK\nContent-Length: what\n\n",
 		"HTTP/1.1 503 Service Unavailable\nContent-Length: 9\n\nhalf", "HTTP/1.1 429 Too Many", "\x01\x02\x03 noise",
@@ -173,10 +176,10 @@
 		"HTTP/1.1 200 OK\nContent-Length: 0\n\nHTTP/1.1 200 OK\nContent-Length: 0\n\n",
 		"HTTP/1.1 400 Bad Request\nContent-Length: 0\n\n",
 	} {
-		sendAndPrint(startEndpoint(false, text, "hang"), 5, newMessage("a"))
-		sendAndPrint(startEndpoint(false, text, "hang"), 5, newMessage("a"), newMessage("b"))
+		sendAndPrint(startEndpoint(false, response, "hang"), 5, newMessage("a"))
+		sendAndPrint(startEndpoint(false, response, "hang"), 5, newMessage("a"), newMessage("b"))
 	}
-	fmt.Println(time.Since(begun) < 4*time.Second)
+	fmt.Println(time.Since(start) < 4*time.Second)
 	// Output:
 	// [done] 0 false 0 0 false
 	// [unreadable unreadable] 0 false 0 0 false
--- a/push/stall_test.go
+++ b/push/stall_test.go
@@ -10,7 +10,7 @@
 	"orchiddrift/message"
 )
 
-// stalledConn is a connection whose answer is read after the deadline, as by a process that stood still meanwhile.
+// stalledConn is a connection whose response is read after the deadline, as if the process had been suspended meanwhile.
 type stalledConn struct{ net.Conn }
 
 func (s *stalledConn) SetDeadline(time.Time) error { return nil }
@@ -21,7 +21,8 @@
 	return copy(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), nil
 }
 
-// A process that stood still past a call's time cannot tell whether the answer that it finds came in time.
+// A process that was suspended past the deadline of a call cannot determine whether the response arrived in time. The call must
+// end as ResponseTimeout.
 func Example_stalledProcess() {
 	s := &stalledConn{}
 	c := &Conn{addr: "e1:80", conn: s, reader: bufio.NewReader(s), writer: bufio.NewWriter(&bytes.Buffer{})}
