--- a/intake/client.go
+++ b/intake/client.go
@@ -166,7 +166,7 @@
 }
 
 // Close is called by the HTTP server when it is done with the connection. It shuts down the write side and leaves the rest to
-// linger, or closes the connection at once if too many are lingering.
+// linger. It closes the connection at once if that was evicted with an incomplete request, or if too many are lingering.
 func (c *clientConn) Close() error {
 	l := c.listener
 	l.lock.Lock()
