--- a/intake/clients.go
+++ b/intake/clients.go
@@ -14,36 +14,37 @@
 )
 
 const (
-	// crowd is the part of the connections that may stay open after an answer. Where clients come, ask once and stay,
-	// those beyond it are closed with their answer: what they hold is not there for the next who come.
-	crowd = 3
-	// lingerers is the part of the connections that may, beside those open, still wait for their clients' ends.
-	lingerers = 8
-	lingerFor = 500 * time.Millisecond
-	// acceptPause is the pause after an accept that failed.
-	acceptPause = 10 * time.Millisecond
+	// keepAliveDivisor sets the share of connections, 1/keepAliveDivisor of maxConns, that may stay open after a response.
+	// Beyond it connections are closed with their response, so that clients that send one request and stay connected do not
+	// use up the connections.
+	keepAliveDivisor = 3
+	// lingerDivisor sets how many connections, maxConns/lingerDivisor but at least one, may linger besides the open ones.
+	lingerDivisor = 8
+	lingerTimeout = 500 * time.Millisecond
+	// retryDelay is the pause after a failed accept, and between two looks at the connections while the server stops.
+	retryDelay = 10 * time.Millisecond
 )
 
-// clients is a listener with so many connections open at most. Where one more comes, another that has no request
-// open makes room: of those that never sent a whole request the oldest, else the one idle for longest. So clients
-// that connect and say nothing, or half of something, do not shut out those that ask. It does harm where a client
-// takes long over its first request while hundreds connect.
-type clients struct {
+// limitListener is a listener that limits the number of open connections. When the limit is reached, a new connection evicts
+// one that has no complete request in progress: the oldest of those that never sent a complete request, else the one idle
+// for longest. Thus clients that connect and send nothing or only part of a request cannot lock out the others. A client that
+// is slow with its first request may be evicted while hundreds of others connect.
+type limitListener struct {
 	net.Listener
-	most       int
-	log        zerolog.Logger
-	invariants *invariant.Counters
-	lock       sync.Mutex
-	open       map[*client]bool
-	known      int // of them those that have sent a whole request
-	lingering  int // and beside them those that wait for their client's end
-	moves      int
-	stopping   bool // no connection is taken any more: all may linger
+	maxConns      int
+	log           zerolog.Logger
+	invariants    *invariant.Counters
+	lock          sync.Mutex
+	open          map[*clientConn]bool
+	established   int // open connections that have sent a complete request
+	lingering     int // connections, not among the open ones, that wait for their client to close
+	activityCount int
+	stopping      bool // the server is stopping: no connection is accepted, and any number may linger
 }
 
-// Accept waits for the next connection. An error of one that failed, or of a machine that has nothing left for one, ends
-// neither the listener nor the process. Where there is no descriptor, a client that has no request open makes room.
-func (l *clients) Accept() (net.Conn, error) {
+// Accept waits for the next connection. It returns an error only if the listener is closed: it retries after the failure of
+// a single connection or a lack of resources. If there is no file descriptor left, it evicts a connection.
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -51,104 +52,105 @@
 		}
 		if err != nil {
 			l.log.Warn().Err(err).Msg("accept failed")
-			if !exhausted(err) || !l.makeRoom() {
-				time.Sleep(acceptPause)
+			if !outOfResources(err) || !l.evictOne() {
+				time.Sleep(retryDelay)
 			}
 			continue
 		}
-		c := newClient(l, conn)
-		if l.add(c) {
+		c := newClientConn(l, conn)
+		if l.admit(c) {
 			return c, nil
 		}
-		l.log.Debug().Stringer("client", conn.RemoteAddr()).Str("reason", string(allBusy)).Msg("connection closed")
+		l.log.Debug().Stringer("client", conn.RemoteAddr()).Str("reason", string(noneEvictable)).Msg("connection closed")
 		_ = conn.Close()
 	}
 }
 
-func (l *clients) add(c *client) bool {
+func (l *limitListener) admit(c *clientConn) bool {
 	l.lock.Lock()
-	full := len(l.open) >= l.most
+	full := len(l.open) >= l.maxConns
 	l.lock.Unlock()
-	if full && !l.makeRoom() {
+	if full && !l.evictOne() {
 		return false
 	}
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.moves++
-	c.moved = l.moves
+	l.activityCount++
+	c.lastActivity = l.activityCount
 	l.open[c] = true
 	return true
 }
 
-// makeRoom closes the connection that can best be done without, and tells whether there was one.
-func (l *clients) makeRoom() bool {
+// evictOne closes one evictable connection and reports whether there was any.
+func (l *limitListener) evictOne() bool {
 	l.lock.Lock()
-	var out *client
-	for x := range l.open {
-		if x.dispensable() && (out == nil || !x.served && out.served || x.served == out.served && x.moved < out.moved) && !x.unread() {
-			out = x
+	var victim *clientConn
+	for candidate := range l.open {
+		if candidate.evictable() && (victim == nil || !candidate.servedBefore && victim.servedBefore || candidate.servedBefore == victim.servedBefore && candidate.lastActivity < victim.lastActivity) && !candidate.hasUnreadBytes() {
+			victim = candidate
 		}
 	}
-	if out == nil {
+	if victim == nil {
 		l.lock.Unlock()
 		return false
 	}
-	out.end(madeRoom)
-	l.drop(out)
-	evicted := out.begun
-	if out.evicted = evicted; evicted { // its request may have been read whole just now: the server closes it
-		out.wake()
+	victim.markReadClosed(evictedForRoom)
+	l.remove(victim)
+	midRequest := victim.requestStarted
+	if victim.evictedDuringRequest = midRequest; midRequest { // the request may be complete by now: the HTTP server closes the connection
+		victim.interruptRead()
 	}
 	l.lock.Unlock()
-	if !evicted {
-		_ = out.Conn.Close()
+	if !midRequest {
+		_ = victim.Conn.Close()
 	}
 	return true
 }
 
-// closeResting ends all connections that have no request open, and tells how many are left, lingering ones included.
-func (l *clients) closeResting() int {
+// closeIdle marks the listener as stopping, closes all connections that have no request in progress, and returns the number
+// of connections that are left, including the lingering ones.
+func (l *limitListener) closeIdle() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.stopping = true
 	for c := range l.open {
-		if !c.shut && !c.begun && !c.unread() {
-			c.end(stopped)
+		if !c.readClosed && !c.requestStarted && !c.hasUnreadBytes() {
+			c.markReadClosed(serverStopping)
 			c.closeWrite()
-			c.wake()
+			c.interruptRead()
 		}
 	}
 	return len(l.open) + l.lingering
 }
 
-func (l *clients) drop(c *client) {
-	if l.open[c] && (c.served || c.whole) {
-		l.known--
+func (l *limitListener) remove(c *clientConn) {
+	if l.open[c] && (c.servedBefore || c.requestComplete) {
+		l.established--
 	}
 	delete(l.open, c)
 }
 
-// closed waits until no connection is open and none lingers.
-func (l *clients) closed() {
-	for l.closeResting() > 0 {
-		time.Sleep(acceptPause)
+// waitClosed closes connections as they become idle, until none is open or lingering.
+func (l *limitListener) waitClosed() {
+	for l.closeIdle() > 0 {
+		time.Sleep(retryDelay)
 	}
 }
 
-// exhausted tells that the process, or the machine, has nothing left for another connection.
-func exhausted(err error) bool {
+// outOfResources reports whether an accept failed because file descriptors or memory are exhausted.
+func outOfResources(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
 		errors.Is(err, syscall.ENOMEM)
 }
 
-// linger keeps a connection that has ended its side until its client has ended its own, but not for long: a close over
-// bytes that came and were not read resets it, and an answer on its way would go with them. Behind a request that was
-// answered nothing is read any more: what comes then is the client's to send again elsewhere. The rest of one that could
-// not be read is, and dropped, since it has its answer.
-func (l *clients) linger(c *client, drain bool) {
-	wait := newBackoff(lingerFor)
-	for wait.next() {
-		if c.ended(drain) {
+// linger keeps a connection whose write side is shut down until the client closes its side or lingerTimeout passes. Closing a
+// socket that holds unread bytes resets the connection, which can destroy a response on its way. After an answered request
+// nothing more is read: the client can see that later requests were not processed and send them elsewhere. With discard, the
+// rest of a request that could not be parsed is read and dropped, since that request was already answered.
+func (l *limitListener) linger(c *clientConn, discard bool) {
+	b := newBackoff(lingerTimeout)
+	for b.wait() {
+		if c.peerClosed(discard) {
 			break
 		}
 	}
@@ -158,40 +160,41 @@
 	l.lock.Unlock()
 }
 
-// backoff paces looks at something, ever more seldom, for a time in all.
+// backoff paces polling with increasing delays for a limited total time.
 type backoff struct {
-	until time.Time
-	pause time.Duration
+	deadline time.Time
+	delay    time.Duration
 }
 
-func newBackoff(whole time.Duration) *backoff {
-	return &backoff{until: time.Now().Add(whole), pause: time.Millisecond}
+func newBackoff(total time.Duration) *backoff {
+	return &backoff{deadline: time.Now().Add(total), delay: time.Millisecond}
 }
 
-// next pauses, and tells whether it is worth another look.
-func (b *backoff) next() bool {
-	const slowest = 64 * time.Millisecond
-	left := time.Until(b.until)
-	if left <= 0 {
+// wait sleeps and reports whether to poll again. It is false once the total time has passed.
+func (b *backoff) wait() bool {
+	const maxDelay = 64 * time.Millisecond
+	remaining := time.Until(b.deadline)
+	if remaining <= 0 {
 		return false
 	}
-	time.Sleep(min(b.pause, left))
-	b.pause = min(2*b.pause, slowest)
+	time.Sleep(min(b.delay, remaining))
+	b.delay = min(2*b.delay, maxDelay)
 	return true
 }
 
-// state notes that a request has begun to come, that it was answered, or that its connection is closed.
-func state(conn net.Conn, s fasthttp.ConnState) {
-	c := conn.(*client)
-	c.all.lock.Lock()
-	defer c.all.lock.Unlock()
+// trackState records that a request has begun to arrive, that it was answered, or that the connection is closed. It is the
+// ConnState callback of the HTTP server.
+func trackState(conn net.Conn, s fasthttp.ConnState) {
+	c := conn.(*clientConn)
+	c.listener.lock.Lock()
+	defer c.listener.lock.Unlock()
 	switch s {
 	case fasthttp.StateActive:
-		c.begun, c.answered = true, false
+		c.requestStarted, c.responded = true, false
 	case fasthttp.StateIdle:
-		c.all.moves++
-		c.answered, c.served, c.whole, c.moved = true, true, false, c.all.moves
+		c.listener.activityCount++
+		c.responded, c.servedBefore, c.requestComplete, c.lastActivity = true, true, false, c.listener.activityCount
 	case fasthttp.StateClosed:
-		c.all.drop(c)
+		c.listener.remove(c)
 	}
 }
--- a/intake/framer.go
+++ b/intake/framer.go
@@ -6,100 +6,100 @@
 	"strings"
 )
 
-// framer counts the requests that are whole in the bytes of a connection, as they are taken. The server reads ahead, and
-// what it has read behind a request is dropped where the connection is closed with that one's answer. It follows RFC 9112
-// for what clients send; where it cannot tell where a request ends it counts no more.
+// framer counts the complete requests in the bytes read from a connection. The HTTP server reads ahead, and drops what it has
+// read after a request if it closes the connection with the response. The framing follows RFC 9112. If the end of a request
+// cannot be determined, counting stops.
 type framer struct {
-	head   []byte // of a request whose head is not whole yet
-	body   int    // bytes of the present body still to come
-	chunks bool   // the present body is chunked
-	trail  bool   // and its trailer section is coming
-	line   []byte // of a chunk's size or a trailer, not whole yet
-	lost   bool
-	whole  int // requests so far
+	head      []byte // incomplete head of the current request
+	bodyLeft  int    // bytes of the current body or chunk still to come
+	chunked   bool   // the current body is chunked
+	inTrailer bool   // in the trailer section of a chunked body
+	line      []byte // incomplete chunk-size or trailer line
+	failed    bool
+	completed int // complete requests so far
 }
 
-// feed takes bytes in.
+// feed processes bytes that were read.
 func (f *framer) feed(b []byte) {
-	for len(b) > 0 && !f.lost {
+	for len(b) > 0 && !f.failed {
 		switch {
-		case f.body > 0:
-			n := min(f.body, len(b))
-			f.body, b = f.body-n, b[n:]
-			if f.body == 0 && !f.chunks {
-				f.whole++
+		case f.bodyLeft > 0:
+			n := min(f.bodyLeft, len(b))
+			f.bodyLeft, b = f.bodyLeft-n, b[n:]
+			if f.bodyLeft == 0 && !f.chunked {
+				f.completed++
 			}
-		case f.chunks:
-			b = f.chunk(b)
+		case f.chunked:
+			b = f.feedChunkLine(b)
 		default:
-			b = f.heads(b)
+			b = f.feedHead(b)
 		}
 	}
 }
 
-// heads takes in bytes of a head, and gives those behind it.
-func (f *framer) heads(b []byte) []byte {
+// feedHead processes bytes of a head and returns those after it.
+func (f *framer) feedHead(b []byte) []byte {
 	if len(f.head) == 0 {
-		b = bytes.TrimLeft(b, "\r\n") // empty lines before a request mean nothing
+		b = bytes.TrimLeft(b, "\r\n") // empty lines before a request are ignored
 	}
 	for i, c := range b {
 		f.head = append(f.head, c)
 		if c == '\n' && (bytes.HasSuffix(f.head, []byte("\r\n\r\n")) || bytes.HasSuffix(f.head, []byte("\n\n"))) {
-			f.begin()
+			f.parseHead()
 			return b[i+1:]
 		}
-		if f.lost = len(f.head) > mostHead; f.lost {
+		if f.failed = len(f.head) > maxHeadBytes; f.failed {
 			return nil
 		}
 	}
 	return nil
 }
 
-// begin reads from a whole head where its request ends.
-func (f *framer) begin() {
-	length, sized := 0, false
+// parseHead determines from a complete head where its request ends.
+func (f *framer) parseHead() {
+	length, hasLength := 0, false
 	for line := range strings.SplitSeq(string(f.head), "\n") {
 		name, value, _ := strings.Cut(line, ":")
 		switch strings.ToLower(strings.TrimSpace(name)) {
 		case "content-length":
 			n, err := strconv.Atoi(strings.TrimSpace(value))
-			f.lost = f.lost || err != nil || n < 0 || n > mostBody
-			length, sized = n, true
+			f.failed = f.failed || err != nil || n < 0 || n > maxBodyBytes
+			length, hasLength = n, true
 		case "transfer-encoding":
-			f.chunks = true
+			f.chunked = true
 		}
 	}
-	f.lost = f.lost || sized && f.chunks // it says in two ways where it ends
-	if f.head = f.head[:0]; f.lost {
+	f.failed = f.failed || hasLength && f.chunked // conflicting lengths
+	if f.head = f.head[:0]; f.failed {
 		return
 	}
-	if f.body = length; f.chunks {
-		f.body = 0
+	if f.bodyLeft = length; f.chunked {
+		f.bodyLeft = 0
 	} else if length == 0 {
-		f.whole++
+		f.completed++
 	}
 }
 
-// chunk takes in bytes of a chunk's size or of the trailer section, and gives those behind the line.
-func (f *framer) chunk(b []byte) []byte {
+// feedChunkLine processes bytes of a chunk-size line or of the trailer section and returns those after the line.
+func (f *framer) feedChunkLine(b []byte) []byte {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
 		f.line = append(f.line, b...)
-		f.lost = len(f.line) > mostHead
+		f.failed = len(f.line) > maxHeadBytes
 		return nil
 	}
 	line := strings.TrimSpace(string(append(f.line, b[:i]...)))
 	f.line = f.line[:0]
 	switch {
-	case f.trail && line == "":
-		f.chunks, f.trail = false, false
-		f.whole++
-	case f.trail, line == "": // a trailer, or the line's end behind a chunk
+	case f.inTrailer && line == "":
+		f.chunked, f.inTrailer = false, false
+		f.completed++
+	case f.inTrailer, line == "": // a trailer field, or the line end after a chunk
 	default:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		f.lost = err != nil
-		f.body, f.trail = int(n), n == 0
+		f.failed = err != nil
+		f.bodyLeft, f.inTrailer = int(n), n == 0
 	}
 	return b[i+1:]
 }
