--- a/directory/directory.go
+++ b/directory/directory.go
@@ -89,6 +89,7 @@
 	return Endpoint{}, false
 }
 
+// set adds, updates or removes the entry of an endpoint.
 func (d *Directory) set(e Endpoint) {
 	current, listed := d.positions[e.ID]
 	if listed && current.dest == e.Dest && e.Stage != Gone {
--- a/intake/client.go
+++ b/intake/client.go
@@ -204,6 +204,7 @@
 	c.setReason(reason)
 }
 
+// setReason sets the reason for closing the connection unless there is one. The caller holds the lock.
 func (c *clientConn) setReason(reason closeReason) {
 	if c.reason == "" {
 		c.reason = reason
@@ -259,6 +260,7 @@
 	return c.hasPipelinedRequestsLocked()
 }
 
+// hasPipelinedRequestsLocked is hasPipelinedRequests for callers that hold the lock.
 func (c *clientConn) hasPipelinedRequestsLocked() bool {
 	return !c.framer.failed && c.framer.completed > c.handledRequests
 }
--- a/intake/clients.go
+++ b/intake/clients.go
@@ -20,6 +20,7 @@
 	keepAliveDivisor = 3
 	// lingerDivisor sets how many connections, maxConns/lingerDivisor but at least one, may linger besides the open ones.
 	lingerDivisor = 8
+	// lingerTimeout is the longest time that a connection lingers.
 	lingerTimeout = 500 * time.Millisecond
 	// retryDelay is the pause after a failed accept, and between two looks at the connections while the server stops.
 	retryDelay = 10 * time.Millisecond
@@ -36,9 +37,9 @@
 	invariants    *invariant.Counters
 	lock          sync.Mutex
 	open          map[*clientConn]bool
-	established   int // open connections that have sent a complete request
-	lingering     int // connections, not among the open ones, that wait for their client to close
-	activityCount int
+	established   int  // open connections that have sent a complete request
+	lingering     int  // connections, not among the open ones, that wait for their client to close
+	activityCount int  // source of clientConn.lastActivity
 	stopping      bool // the server is stopping: no connection is accepted, and any number may linger
 }
 
@@ -66,6 +67,7 @@
 	}
 }
 
+// admit adds a connection to the open ones and reports whether it was added. It evicts another one if the limit is reached.
 func (l *limitListener) admit(c *clientConn) bool {
 	l.lock.Lock()
 	full := len(l.open) >= l.maxConns
@@ -123,6 +125,7 @@
 	return len(l.open) + l.lingering
 }
 
+// remove removes a connection from the open ones. The caller holds the lock.
 func (l *limitListener) remove(c *clientConn) {
 	if l.open[c] && (c.servedBefore || c.requestComplete) {
 		l.established--
--- a/intake/framer.go
+++ b/intake/framer.go
@@ -15,8 +15,8 @@
 	chunked   bool   // the current body is chunked
 	inTrailer bool   // in the trailer section of a chunked body
 	line      []byte // incomplete chunk-size or trailer line
-	failed    bool
-	completed int // complete requests so far
+	failed    bool   // request bounds can no longer be determined
+	completed int    // complete requests so far
 }
 
 // feed processes bytes that were read.
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -101,6 +101,7 @@
 	ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 }
 
+// handle routes a request.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	ok, closeAfter := ctx.Conn().(*clientConn).requestReceived(string(ctx.Request.Header.Peek("X-Call-Id")))
 	if (closeAfter || s.closeAfterResponse.Load()) && !ctx.Conn().(*clientConn).hasPipelinedRequests() {
--- a/push/call.go
+++ b/push/call.go
@@ -121,6 +121,7 @@
 	req.SetBodyRaw(body)
 }
 
+// endByState maps the states in the response to a batch to ends.
 var endByState = map[string]End{"done": Delivered, "failed": Failed, "busy": Throttled, "void": AlreadySettled, "used_up": AttemptsExhausted}
 
 // parseBatchStates returns the end of each message of a batch. A message that the response does not list, or lists with an
--- a/push/conn.go
+++ b/push/conn.go
@@ -15,15 +15,18 @@
 	"github.com/valyala/fasthttp"
 )
 
+// statusOKLine matches the status line of a response with status 200.
 var statusOKLine = regexp.MustCompile(`^HTTP/1\.[01] 200\b[^\n]*\n`)
 
 // retryAfterLine matches the Retry-After line in the head of a response.
 var retryAfterLine = regexp.MustCompile(`(?i)\r?\nRetry-After:([^\r\n]*)\r?\n`)
 
 const (
+	// minResponseRestTimeout is the least time that the rest of a response may take after its first byte.
 	minResponseRestTimeout = time.Millisecond
 	// chunkedLength is the content length that fasthttp reports for a chunked body.
-	chunkedLength          = -1
+	chunkedLength = -1
+	// maxResponseRestTimeout is the most time that the rest of a response may take after its first byte.
 	maxResponseRestTimeout = 250 * time.Millisecond
 	// lateResponseTimeout bounds the wait for a response that the endpoint wrote before it saw that the call was abandoned.
 	lateResponseTimeout = 100 * time.Millisecond
