--- a/decide/decide.go
+++ b/decide/decide.go
@@ -4,11 +4,12 @@
 // come: push it, hold it, or give it up. HandleOutcome(now, outcome) records how a push ended and decides what becomes of
 // its notification. NextTurn(now) returns the seconds until Place is to be called next (0: now) and the notification to
 // call it for; an empty ID stands for maintenance, such as closing idle connections.
-// Place, read from top to bottom, is the ordinary path of a notification. Deficit round robin and allowances are specified
-// in DESIGN.
+// Place contains the ordinary path of a notification, from admission to its push. Deficit round robin and allowances are
+// specified in DESIGN.
 //
 // Seven mechanisms supplement that design:
-//  1. Outlier detection: an endpoint that is unusually silent, or that fails pushes, is set aside for a fixed time plus jitter.
+//  1. Outlier detection: an endpoint whose push timed out or lost its connection is set aside for a fixed time plus jitter.
+//     While an endpoint is unusually silent it gets no pushes.
 //  2. Recovery budget: a destination that failed gets this dispatcher's share of what a cold destination can take.
 //  3. Idle connections: where connections are scarce they are kept open for less time; after a connection failed,
 //     once-only notifications are sent on new ones.
@@ -28,38 +29,57 @@
 )
 
 const (
-	quantum              = 1.0  // deficit granted per visit, times the weight of the destination
-	reservedShare        = 0.1  // share of a limit, kept from low-benefit topics, and of the room, kept from notifications that wait for a key
-	defaultRefusalWait   = 0.5  // seconds without pushes after a refusal that told no wait, or, with jitter, after one for too many connections
-	allowanceTTL         = 1.0  // seconds without a call in flight after which an allowance is discarded
-	setAsideBase         = 1.0  // seconds for which an endpoint is set aside, and between two trials, at least
-	setAsideJitter       = 0.5  // seconds, the upper bound of the random part added to setAsideBase; also the shortest delay of a repeated list request
+	quantum = 1.0 // pushes added to the deficit of a destination per visit, before its weight
+
+	// reservedShare is the share of a limit that low-benefit topics may not use, and the share of the room that notifications
+	// waiting for their key may not use if the queue of their destination is full.
+	reservedShare = 0.1
+
+	// defaultRefusalWait is the time in seconds without pushes after a refusal that told no wait. With jitter, it is also the
+	// time for which an endpoint with too many connections is set aside.
+	defaultRefusalWait = 0.5
+
+	allowanceTTL = 1.0 // seconds without a call in flight after which an allowance is discarded; also the shortest RetryIn
+	setAsideBase = 1.0 // seconds, the shortest time for which an endpoint is set aside, and the shortest between two trials
+
+	// setAsideJitter is the upper bound in seconds of the random time added to setAsideBase. It is also the shortest delay of a
+	// repeated request for the list of endpoints.
+	setAsideJitter = 0.5
+
 	defaultGap           = 0.5  // seconds, the gap or latency assumed before there are samples
 	maxSamples           = 16   // samples kept in each series of latencies, gaps and usage
 	maxPushSamples       = 256  // pushes and arrivals kept in each series
 	healthSamples        = 8    // latest outcomes from which the health of a destination is judged
 	sharedPushWeight     = 0.25 // weight of each further notification in a call, in pushes
 	timeoutLatencies     = 8.0  // timeout of a push, in mean latencies
-	maxTimeoutObjectives = 2.0  // upper bound of a timeout, in objectives; one objective is the lower bound
+	maxTimeoutObjectives = 2.0  // upper bound of a timeout, in objectives, before that of a once-only push is doubled
 	firstTryMargin       = 0.1  // seconds by which the time left of a first try may be less than its TTL
 	quotaSpan            = 5.0  // seconds over which a tenant's use of its quota is measured
-	defaultIdleTimeout   = 5.0  // seconds for which idle connections are kept at most while they are not scarce
-	paceWindow           = 0.5  // seconds in each of which pushes keep to the pace
-	resendSpread         = 1.2  // refused pushes of all dispatchers are spread over this many overload spans
-	unlikelyLimitSpread  = 4.0  // factor on resendSpread after a refusal with much of the limit left
-	acceptedWindow       = 2.0  // seconds before a refusal over which accepted pushes are counted
-	paceGrowth           = 0.03 // growth of the pace per second, as a share of its start; maxCalls grows by this per maxCalls deliveries
-	paceStart            = 0.9  // start of the pace, and of maxCalls, as a share of what was accepted
-	freeRefusalThreshold = 0.5  // share of refused pushes from which a destination is paced where refusals cost nothing
+
+	// defaultIdleTimeout is the time in seconds for which idle connections are kept while they are not scarce. A shorter idle
+	// timeout of the settings takes precedence, and so does a longer share of that timeout (see idleCloseAt).
+	defaultIdleTimeout = 5.0
+
+	paceWindow          = 0.5 // seconds, the length of the sliding window in which pushes are limited to the pace
+	resendSpread        = 1.2 // refused pushes of all dispatchers are spread over this many overload spans
+	unlikelyLimitSpread = 4.0 // factor on resendSpread after a refusal with much of the limit left
+	acceptedWindow      = 2.0 // seconds before a refusal over which accepted pushes are counted
+
+	// paceGrowth is the growth of the pace per second, as a share of its start. It is also the growth of endpoint.maxCalls, in
+	// calls, with as many deliveries as maxCalls.
+	paceGrowth = 0.03
+
+	initialPaceShare     = 0.9 // start of the pace, and of endpoint.maxCalls, as a share of what was accepted
+	freeRefusalThreshold = 0.5 // share of refused pushes from which a destination is paced where refusals cost nothing
 )
 
-// New returns a Scheduler that holds no notifications. The seed starts its random numbers; listOnRequest says that the
-// list of endpoints is sent only on request.
+// New returns a Scheduler that holds no notifications. The seed initializes its random numbers. With listOnRequest the list
+// of endpoints is sent only on request, and the Scheduler asks its caller for it.
 func New(seed uint64, dir *directory.Directory, topics []Topic, capacity Capacity, routes Routes, recovery Recovery,
 	policy PushPolicy, quotas TenantQuotas, listOnRequest bool) *Scheduler {
 	s := &Scheduler{rng: pcg{state: seed}, dir: dir, topics: map[string]Topic{}, capacity: capacity, routes: routes,
 		recovery: recovery, policy: policy, quotas: quotas, listOnRequest: listOnRequest, held: map[string]*heldNotification{},
-		keys: map[string][]*heldNotification{}, destinations: map[string]*destination{}, throttles: map[throttleID]*throttle{},
+		heldByKey: map[string][]*heldNotification{}, destinations: map[string]*destination{}, throttles: map[throttleID]*throttle{},
 		endpoints: map[string]*endpoint{}, tenantArrivals: map[string][]float64{}, connectionsScarceUntil: map[string]float64{}}
 	if !listOnRequest {
 		s.nextListRequest = never
@@ -71,17 +91,17 @@
 	return s
 }
 
-// Place takes a new notification into the queue of its destination, or decides on one that NextTurn named. With an empty
-// notification it returns the maintenance that is due.
+// Place takes a new notification into the queue of its destination, or decides on one that NextTurn returned. For an empty
+// notification it returns the maintenance that is due; it is called with one only if NextTurn returned 0 and an empty ID.
 func (s *Scheduler) Place(now float64, ntf Notification) Decision {
 	if ntf.ID == "" {
 		if s.nextListRequest <= now {
 			s.revisionAtRequest, s.nextListRequest = s.dir.Revision, never
 			return Decision{Action: WatchList}
 		}
-		i := slices.IndexFunc(s.idleEndpoints, func(i idleEndpoint) bool { return s.idleCloseAt(now, i) <= now })
-		ep := s.idleEndpoints[i].endpoint
-		s.idleEndpoints = slices.Delete(s.idleEndpoints, i, i+1)
+		dueIndex := slices.IndexFunc(s.idleEndpoints, func(dueIndex idleEndpoint) bool { return s.idleCloseAt(now, dueIndex) <= now })
+		ep := s.idleEndpoints[dueIndex].endpoint
+		s.idleEndpoints = slices.Delete(s.idleEndpoints, dueIndex, dueIndex+1)
 		return Decision{Action: CloseIdle, Endpoint: ep.id}
 	}
 	h, known := s.held[ntf.ID]
@@ -92,7 +112,7 @@
 		h.pushes, h.overQuota = ntf.Pushes, firstTry && s.overQuota(now, ntf.Tenant)
 		freeRoom := (1-reservedShare)*float64(s.capacity.MaxHeld) - float64(len(s.held))
 		// A notification that waits for its key needs room, but is not limited by the queue bound.
-		queuesBehindKey := freeRoom > 0 && h.ordered() && len(s.keys[h.Key]) > 0
+		queuesBehindKey := freeRoom > 0 && h.ordered() && len(s.heldByKey[h.Key]) > 0
 		if !ntf.Restored && (!s.dir.KnownDest(d.id) || !queuesBehindKey && len(d.queue) >= s.queueBound(h) && !s.displace(now, d, h)) {
 			return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: s.retryIn(now, d)}
 		}
@@ -111,7 +131,7 @@
 			d.arrivals = appendLast(d.arrivals, now, maxPushSamples)
 		}
 		if h.ordered() {
-			s.keys[h.Key] = append(s.keys[h.Key], h)
+			s.heldByKey[h.Key] = append(s.heldByKey[h.Key], h)
 		}
 		s.takenCount, s.benefitSum = s.takenCount+1, s.benefitSum+h.topic.Benefit
 		h.sequence = s.takenCount
@@ -152,7 +172,7 @@
 	}
 	t.sentPushes = appendLast(t.sentPushes, sample{now, pushWeight}, maxPushSamples)
 	t.lastTrial, t.jitter = now, 0.5+s.rng.float()
-	h.pushes, h.lastSentAt, h.lastZone = h.pushes+1, now, e.Zone
+	h.pushes, h.lastSentAt, h.lastSentZone = h.pushes+1, now, e.Zone
 	// The client counts the TTL from when it sent the notification, which is earlier than its arrival here. An answer in
 	// the last tick may therefore be late.
 	timeout, validFor := s.pushTimeout(t, ep, h), max(0, h.expiresAt-s.policy.Tick-now)
@@ -163,18 +183,19 @@
 		NewConnection: h.topic.Repeat == OnceOnly && s.connectionsScarceUntil[e.Kind] > now}
 }
 
-// HandleOutcome records how a push ended and decides what becomes of its notification.
-func (s *Scheduler) HandleOutcome(now float64, o Outcome) Decision {
-	h := s.held[o.NotificationID]
-	if e, ok := s.dir.Find(o.Dest, o.Endpoint); ok { // a wait that was told after the push had ended
+// HandleOutcome records how a push ended and decides what becomes of its notification: it is finished, given up, or queued
+// again. It also takes told waits that arrive after their push ended, and withdrawn notifications.
+func (s *Scheduler) HandleOutcome(now float64, outcome Outcome) Decision {
+	h := s.held[outcome.NotificationID]
+	if e, ok := s.dir.Find(outcome.Dest, outcome.Endpoint); ok { // a wait that was told after the push had ended
 		t := s.throttle(e)
-		t.blockedUntil = max(t.blockedUntil, now+o.Wait)
+		t.blockedUntil = max(t.blockedUntil, now+outcome.Wait)
 	}
 	if h == nil {
 		return Decision{}
 	}
 	d := s.destination(h.Dest)
-	if o.Result == Withdrawn {
+	if outcome.Result == Withdrawn {
 		h.finished, h.noticePending = true, false
 		s.dequeue(d, h)
 		s.release(now, h)
@@ -183,8 +204,8 @@
 	c := h.call
 	h.call = nil
 	if c != nil {
-		if o.Wait > 0 { // a wait applies whatever the rest of the answer says
-			c.throttle.blockedUntil = max(c.throttle.blockedUntil, now+o.Wait)
+		if outcome.Wait > 0 { // a wait applies whatever the rest of the answer says
+			c.throttle.blockedUntil = max(c.throttle.blockedUntil, now+outcome.Wait)
 		}
 		if c.pending--; c.pending == 0 {
 			c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(x *call) bool { return x == c })
@@ -195,24 +216,24 @@
 				c.throttle.idleSince = now
 			}
 		}
-		if o.Result != NotAttempted {
-			s.recordOutcome(now, c, h, o)
-		} else if o.Unsent {
+		if outcome.Result != NotAttempted {
+			s.recordOutcome(now, c, h, outcome)
+		} else if outcome.Unsent {
 			h.pushes--
-		} else if o.NoMorePushes {
+		} else if outcome.NoMorePushes {
 			h.pushes = s.policy.MaxPushes
 		}
 	}
-	switch o.Result {
+	switch outcome.Result {
 	case Failed, TimedOut, Reset, Cancelled:
 		if h.mayHaveRunAt == never {
-			h.mayHaveRunAt, h.mayHaveRunZone = h.lastSentAt, h.lastZone
+			h.mayHaveRunAt, h.mayHaveRunZone = h.lastSentAt, h.lastSentZone
 		}
-		if o.Result != Failed {
+		if outcome.Result != Failed {
 			h.keyBlockedUntil = now + s.policy.KeyCooldown
 		}
 	}
-	if h.finished = h.finished || o.Final; h.finished {
+	if h.finished = h.finished || outcome.Final; h.finished {
 		s.release(now, h)
 		return Decision{}
 	}
@@ -307,8 +328,8 @@
 // firstReady returns the first notification of a queue that may start now, or nil and the time at which one may start.
 func (s *Scheduler) firstReady(now float64, d *destination) (*heldNotification, float64) {
 	next := never
-	// A notification that cannot have run may go to any endpoint. If one is not admitted, no other is (blocked), or, if its
-	// topic has a low benefit, none of such a topic (blockedLow).
+	// A notification that cannot have run may go to any endpoint. If one with the highest benefit is not admitted, no other
+	// notification is (blocked). If one with a lower benefit is not, no other with a lower benefit is (blockedLow).
 	blocked, blockedLow := false, false
 	var blockedClasses []admissionClass
 	// Where the benefit decays exponentially, notifications past their objective lose little more by waiting and come last.
@@ -326,7 +347,7 @@
 			continue
 		}
 		class := admissionClass{h.Topic, h.requiredZone()}
-		if slices.Contains(blockedClasses, class) { // the outcome is the same for all notifications of a class
+		if slices.Contains(blockedClasses, class) { // another notification of the class was not admitted
 			continue
 		}
 		blockedClasses = append(blockedClasses, class)
@@ -343,7 +364,7 @@
 
 // selectEndpoint returns the endpoint with the fewest calls in flight among those that admit h, or nil and the time at
 // which one may admit it. A tie goes to the lower fee, then to the endpoint that delivered last, or to a random one before
-// any delivery: with a fixed order many dispatchers without calls in flight would crowd one endpoint.
+// any delivery: with a fixed order many dispatchers without calls in flight would all choose the same endpoint.
 func (s *Scheduler) selectEndpoint(now float64, d *destination, h *heldNotification) (*directory.Endpoint, float64) {
 	var best *directory.Endpoint
 	next, fewestCalls := never, 0
@@ -454,17 +475,17 @@
 }
 
 // pacedStart returns when the next push may start at a destination that refused pushes. The pace starts at what was
-// accepted before the last refusal, or at the demand share if that is more, and then grows slowly. Pacing covers limits
-// that others use too, limits that are lowered without a report, and refusals that use up the limit themselves. In that
-// last case a rate just above the limit delivers next to nothing, so the pace is reduced by the share of recent pushes
-// that were refused.
+// accepted before the last refusal, or at the demand share if that is more, in proportion to the relative benefit of h. It
+// grows slowly, and pacing ends when it has doubled. Pacing covers limits that others use too, limits that are lowered
+// without a report, and refusals that use up the limit themselves. In that last case a rate just above the limit delivers
+// next to nothing, so the pace is reduced by the share of recent pushes that were refused.
 func (s *Scheduler) pacedStart(now float64, d *destination, e directory.Endpoint, t *throttle, h *heldNotification) float64 {
 	if now-t.lastRefusal > 1/paceGrowth {
 		return now
 	}
 	accepted := 0.0
 	for _, outcome := range t.outcomes {
-		if outcome.weight == 0 && outcome.at <= t.lastRefusal && outcome.at > t.lastRefusal-acceptedWindow {
+		if outcome.value == 0 && outcome.at <= t.lastRefusal && outcome.at > t.lastRefusal-acceptedWindow {
 			accepted++
 		}
 	}
@@ -477,12 +498,12 @@
 	if s.routes.FreeRefusals && refusedShare < freeRefusalThreshold {
 		return now
 	}
-	baseRate := paceStart * max((accepted-1)/acceptedWindow, demand) * (1 - refusedShare) * s.relativeBenefit(h)
+	baseRate := initialPaceShare * max((accepted-1)/acceptedWindow, demand) * (1 - refusedShare) * s.relativeBenefit(h)
 	return s.windowStart(now, t, baseRate*(1+paceGrowth*(now-t.lastRefusal)), paceWindow)
 }
 
-// windowStart returns when the next push may start if no window of span seconds may hold more pushes than rate (per
-// second) allows. If that is less than one push, the window is widened to hold one.
+// windowStart returns when the next push may start if no window of span seconds may contain more pushes than rate, in pushes
+// per second, allows. If that is less than one push, the window is widened to allow one.
 func (s *Scheduler) windowStart(now float64, t *throttle, rate, span float64) float64 {
 	maxWeight := rate * span
 	if maxWeight < 1 {
@@ -490,17 +511,17 @@
 	}
 	used := 0.0
 	for i := len(t.sentPushes) - 1; i >= 0 && t.sentPushes[i].at > now-span; i-- {
-		if used += t.sentPushes[i].weight; used > maxWeight-1+1e-9 {
+		if used += t.sentPushes[i].value; used > maxWeight-1+1e-9 {
 			return t.sentPushes[i].at + span + 1e-6
 		}
 	}
 	return now
 }
 
-// pushTimeout returns the timeout of a push in seconds, derived from recent latencies. While an endpoint has few samples,
-// those of all endpoints stand in. A push that takes the last slot gets no more than that, without the objective as lower
-// bound, because a lost answer would hold up all other pushes. In an outage the timeout is the upper bound, and a once-only
-// push otherwise gets twice as long.
+// pushTimeout returns the timeout of a push in seconds: a multiple of the mean latency, but at least one objective and at most
+// maxTimeoutObjectives. While an endpoint has few samples, those of all endpoints are used too. The lower bound does not
+// apply to a push that takes the last slot, because a lost answer would delay all other pushes. In an outage the timeout is
+// the upper bound. Otherwise, unless it takes the last slot, a once-only push gets twice the timeout.
 func (s *Scheduler) pushTimeout(t *throttle, ep *endpoint, h *heldNotification) float64 {
 	objective := h.topic.Objective
 	if t.inOutage() {
@@ -524,14 +545,14 @@
 	return !h.finished && h.call == nil && (outOfTime || unsafe)
 }
 
-// latestStart returns the latest time at which a push can still be answered in time, given recent latencies. A push
-// started later would end before its answer is read, and a wait told in that answer would be violated by the next push.
+// latestStart returns the latest time at which a push may start to be answered within the TTL, given recent latencies. A
+// push started later would end before its answer is read, and the next push would violate a wait told in that answer.
 func (s *Scheduler) latestStart(h *heldNotification) float64 {
 	return h.expiresAt - max(s.policy.Tick, smoothedMean(s.latencies, 0))
 }
 
-// dedupUntil returns the time until which endpoints are sure to recognise a repeat, if a push may have run. No push may start
-// later, including one that waited for its connection until then.
+// dedupUntil returns the time until which endpoints are certain to recognise a repeat, if a push may have run; never means
+// that there is no such bound. No push may start later, including one that waited for its connection until then.
 func (s *Scheduler) dedupUntil(h *heldNotification) float64 {
 	if h.topic.Repeat != Collapsible {
 		return never
@@ -551,25 +572,25 @@
 	return Decision{Action: Expire, NotificationID: h.ID}
 }
 
-// queueBound returns how many notifications the queue of a destination may hold when h arrives: as many as there is room
-// left, times the relative benefit of h. Queues that do not move thus leave room for those that do.
+// queueBound returns how many notifications the queue of a destination may hold when h arrives: the room that is left, in
+// notifications, times the relative benefit of h. Queues of blocked destinations thus leave room for the others.
 func (s *Scheduler) queueBound(h *heldNotification) int {
 	return max(1, int(float64(s.capacity.MaxHeld-len(s.held))*s.relativeBenefit(h)))
 }
 
 // relativeBenefit returns the benefit of a notification divided by the mean benefit of those taken. Scarce room and pace
-// are allocated in proportion to it; reservedShare does the same for limits, but only while calls are in flight. It works poorly where one
-// topic has nearly all of the benefit.
+// are allocated in proportion to it; for limits, reservedShare gives precedence by benefit, but only while calls are in
+// flight. It works poorly where one topic has nearly all of the benefit.
 func (s *Scheduler) relativeBenefit(h *heldNotification) float64 {
 	return h.topic.Benefit * float64(s.takenCount) / max(s.benefitSum, 1e-9)
 }
 
-// displace marks the notification in a full queue that is worth least now, if it is worth less than h, and reports whether
-// there was one.
+// displace marks the notification in a full queue that has the lowest current benefit as displaced, if that is lower than
+// the benefit of h, and reports whether there was one. Place then gives the displaced notification its final answer.
 func (s *Scheduler) displace(now float64, d *destination, h *heldNotification) bool {
 	leastValuable := h
 	for _, x := range d.queue {
-		// An untried notification read back after a restart was promised a push, so it stays.
+		// A restored notification that was not pushed yet is not displaced, because a push of it was promised.
 		if !x.displaced && !(x.Restored && x.pushes == 0) && s.currentBenefit(now, x) < s.currentBenefit(now, leastValuable) {
 			leastValuable = x
 		}
@@ -592,8 +613,8 @@
 }
 
 // overQuota records an arrival for a tenant and reports whether the tenant is over this dispatcher's share of its quota.
-// Notifications over quota earn little benefit, which protects the room of other tenants in bursts. Retries, recognised by
-// the time they have left, are not counted: they belong to their first try.
+// Notifications over quota earn little benefit, so that a burst of one tenant does not displace the notifications of others.
+// Place calls it for first tries only: retries, recognised by the time they have left, are not counted again.
 func (s *Scheduler) overQuota(now float64, tenant string) bool {
 	allowed := quotaSpan * s.evenShare(s.quotas.Rate[tenant])
 	allowed += 2 * math.Sqrt(allowed) // margin for random variation
@@ -602,8 +623,9 @@
 	return allowed > 0 && len(arrivals) > int(allowed) && arrivals[len(arrivals)-1-int(allowed)] > now-quotaSpan
 }
 
-// retryIn returns the seconds after which a client is likely to find room: until the first endpoint may get a push, as far
-// as is known now, and at least allowanceTTL. An endpoint in an outage is first tried with the notifications held here.
+// retryIn returns the seconds after which a client is advised to submit a notification again: until the first endpoint may
+// get a push, as far as is known now, and at least allowanceTTL. An endpoint in an outage is first tried with the
+// notifications held here.
 func (s *Scheduler) retryIn(now float64, d *destination) float64 {
 	earliest := never
 	for _, e := range s.dir.Endpoints(d.id) {
@@ -626,7 +648,7 @@
 		return now
 	}
 	freeAt := max(now, s.keysBlockedUntil)
-	for _, x := range s.keys[h.Key] {
+	for _, x := range s.heldByKey[h.Key] {
 		if x == h {
 			return freeAt
 		}
@@ -638,7 +660,8 @@
 	return freeAt
 }
 
-// joinableCall returns the call of this turn to an endpoint that has room for another notification, or nil.
+// joinableCall returns the call to an endpoint that started at the same time, now, and has room for another notification, or
+// nil.
 func (s *Scheduler) joinableCall(now float64, e directory.Endpoint) *call {
 	calls := s.endpoint(e.ID).calls
 	if n := len(calls); n > 0 && calls[n-1].startedAt == now && calls[n-1].size < s.capacity.BatchSize[e.Kind] {
@@ -663,7 +686,8 @@
 	}
 }
 
-// dequeue removes a notification from its queue. An empty queue leaves the round and its deficit is reset.
+// dequeue removes a notification from its queue. A destination whose queue is then empty is removed from the round, and its
+// deficit is reset.
 func (s *Scheduler) dequeue(d *destination, h *heldNotification) {
 	d.queue = slices.DeleteFunc(d.queue, func(x *heldNotification) bool { return x == h })
 	if len(d.queue) > 0 || !d.inRound {
@@ -679,33 +703,35 @@
 	}
 }
 
-// nextMaintenance returns when maintenance is due: requesting the list of endpoints, at start and some time after a
-// failure, or closing idle connections.
+// nextMaintenance returns when maintenance is due: requesting the list of endpoints, at start and with a random delay after a
+// failure, or closing idle connections. It removes endpoints that are no longer idle from idleEndpoints.
 func (s *Scheduler) nextMaintenance(now float64) float64 {
 	if s.listOnRequest && s.nextListRequest == never && s.dir.ConsecutiveFailures > 0 && s.dir.Revision != s.revisionAtRequest {
 		s.revisionAtRequest = s.dir.Revision
 		s.nextListRequest = now + setAsideJitter*(1+s.rng.float())
 	}
-	stale := func(i idleEndpoint) bool { return len(i.endpoint.calls) > 0 || i.endpoint.idleSince != i.since }
+	stale := func(idle idleEndpoint) bool {
+		return len(idle.endpoint.calls) > 0 || idle.endpoint.idleSince != idle.since
+	}
 	s.idleEndpoints = slices.DeleteFunc(s.idleEndpoints, stale)
 	next := s.nextListRequest
-	for _, i := range s.idleEndpoints {
-		next = min(next, s.idleCloseAt(now, i))
+	for _, idle := range s.idleEndpoints {
+		next = min(next, s.idleCloseAt(now, idle))
 	}
 	return next
 }
 
-// idleCloseAt returns when the idle connections to an endpoint are to be closed. An endpoint may accept only so many
-// connections: idle ones of many dispatchers can exclude others, or be closed unnoticed. While connections to endpoints of
-// the kind are scarce, because one was refused or broke recently, the idle timeout of the settings is divided among the
-// dispatchers, and connections are closed at once if the calls of this dispatcher are farther apart than that. Otherwise
-// they are kept for that share, or up to defaultIdleTimeout if that is longer.
-func (s *Scheduler) idleCloseAt(now float64, i idleEndpoint) float64 {
+// idleCloseAt returns when the idle connections to an endpoint are to be closed. An endpoint may limit its connections: idle
+// ones of many dispatchers can exclude others, or be closed unnoticed. While connections to endpoints of the kind are
+// scarce, because one was refused or broke recently, the idle timeout of the settings is divided among the dispatchers, and
+// connections are closed at once if the calls of this dispatcher are farther apart than that. Otherwise they are kept for
+// that share, or up to defaultIdleTimeout if that is longer.
+func (s *Scheduler) idleCloseAt(now float64, idle idleEndpoint) float64 {
 	keepOpen := s.evenShare(s.policy.IdleTimeout)
-	if s.connectionsScarceUntil[i.endpoint.kind] <= now {
+	if s.connectionsScarceUntil[idle.endpoint.kind] <= now {
 		keepOpen = max(keepOpen, min(defaultIdleTimeout, cmp.Or(s.policy.IdleTimeout, defaultIdleTimeout)))
-	} else if keepOpen < smoothedMean(i.endpoint.callGaps, defaultGap) {
+	} else if keepOpen < smoothedMean(idle.endpoint.callGaps, defaultGap) {
 		keepOpen = 0
 	}
-	return i.since + keepOpen
+	return idle.since + keepOpen
 }
--- a/decide/health.go
+++ b/decide/health.go
@@ -6,49 +6,49 @@
 	"slices"
 )
 
-// Outlier detection: the outcomes of pushes show the health of endpoints and of their destinations. A destination that does
-// not answer is ejected until a trial push is answered.
+// Outlier detection: the health of endpoints and of their destinations is derived from the outcomes of pushes. A destination
+// that does not answer is ejected, which means that it only gets trial pushes until one of them is delivered.
 
 const (
-	silentGaps         = 6.0  // silence of so many mean answer gaps is unusual
-	silentLatencies    = 3.0  // silence of so many mean latencies is unusual
-	refusalOutageAfter = 2.0  // seconds of refusals without a delivery that are treated as an outage rather than a limit
-	maxLimitRefusals   = 2    // refusals in a row that may come from a limit which others have used up
-	ampleLimitLeft     = 0.4  // share of the limit left above which a refusal is unlikely to come from the limit
-	topicAvoidance     = 15.0 // seconds, plus up to as much at random, without a topic that the endpoint failed, if others can take it
-	topicServedSpan    = 8.0  // seconds after a delivery of a topic in which one failure alone does not count
-	priorOutageShare   = 0.6  // share of first failures that are assumed to be outages before any have been classified
-	priorOutageWeight  = 2.0  // weight of priorOutageShare, in classified first failures
-	maxSendOutcomes    = 64   // pushes kept by the time they were sent
+	unusualSilenceGaps      = 6.0  // lower bound of an unusual silence, in mean answer gaps
+	unusualSilenceLatencies = 3.0  // lower bound of an unusual silence, in mean latencies
+	refusalOutageAfter      = 2.0  // seconds of refusals without a delivery, above which they are treated as an outage, not a limit
+	maxLimitRefusals        = 2    // refusals in a row that may come from a limit which other dispatchers have used up
+	ampleLimitLeft          = 0.4  // share of the limit left above which a refusal is unlikely to come from the limit
+	topicAvoidance          = 15.0 // seconds, plus up to as much jitter, in which an endpoint is avoided for a topic that it failed
+	topicServedSpan         = 8.0  // seconds after a delivery of a topic in which a single failure of it does not count
+	priorOutageShare        = 0.6  // share of first failures that are assumed to be outages before any have been classified
+	priorOutageWeight       = 2.0  // weight of priorOutageShare, in classified first failures
+	maxSendOutcomes         = 64   // samples kept in throttle.sendOutcomes
 )
 
 // recordOutcome updates the throttle and the health of the endpoint from the outcome of a push.
-func (s *Scheduler) recordOutcome(now float64, c *call, h *heldNotification, o Outcome) {
+func (s *Scheduler) recordOutcome(now float64, c *call, h *heldNotification, outcome Outcome) {
 	t := c.throttle
-	if o.LimitReported {
-		t.limit, t.allowance = o.Limit, o.LimitLeft*o.Limit
-		if o.Limit == 0 && o.LimitLeft == 0 {
+	if outcome.LimitReported {
+		t.limit, t.allowance = outcome.Limit, outcome.LimitLeft*outcome.Limit
+		if outcome.Limit == 0 && outcome.LimitLeft == 0 {
 			t.allowance = never
-		} else if o.Result == Delivered && !t.recovering {
-			s.recordUsage(t, o.LimitLeft)
+		} else if outcome.Result == Delivered && !t.recovering {
+			s.recordUsage(t, outcome.LimitLeft)
 		}
 	}
-	switch o.Result {
+	switch outcome.Result {
 	case Delivered:
-		s.recordDelivery(now, c, h, o)
+		s.recordDelivery(now, c, h, outcome)
 	case Throttled:
-		s.recordRefusal(now, c, o)
+		s.recordRefusal(now, c, outcome)
 	case Failed, TimedOut, NotConnected, Reset:
-		s.recordFailure(now, c, h, o)
+		s.recordFailure(now, c, h, outcome)
 	}
 }
 
-// recordDelivery records an answer that delivered the notification.
-func (s *Scheduler) recordDelivery(now float64, c *call, h *heldNotification, o Outcome) {
+// recordDelivery records a push that was delivered. If its destination was in an outage, slow start begins.
+func (s *Scheduler) recordDelivery(now float64, c *call, h *heldNotification, outcome Outcome) {
 	t, ep := c.throttle, c.endpoint
 	ep.answerGaps = appendLast(ep.answerGaps, now-max(ep.lastAnswer, c.startedAt), maxSamples)
-	ep.latencies = appendLast(ep.latencies, o.Latency, maxSamples)
-	s.latencies = appendLast(s.latencies, o.Latency, maxSamples)
+	ep.latencies = appendLast(ep.latencies, outcome.Latency, maxSamples)
+	s.latencies = appendLast(s.latencies, outcome.Latency, maxSamples)
 	ep.lastAnswer, ep.preference = now, now
 	ep.topics[h.Topic] = topicHealth{lastDelivery: now}
 	ep.maxCalls += paceGrowth / ep.maxCalls
@@ -64,62 +64,65 @@
 	}
 }
 
-// recordRefusal records a refusal: because of a limit, because of too many connections, or in an outage.
-func (s *Scheduler) recordRefusal(now float64, c *call, o Outcome) {
+// recordRefusal records a refused push. The reason may be a limit, too many connections, or an outage.
+func (s *Scheduler) recordRefusal(now float64, c *call, outcome Outcome) {
 	t, ep := c.throttle, c.endpoint
 	ep.lastAnswer, ep.preference = now, -s.rng.float()
-	// The endpoint has no room for connections, whoever holds them. That says nothing about a limit of the destination.
-	if o.TooManyConnections {
+	// The endpoint accepts no more connections, whichever dispatchers hold them. That says nothing about a limit of the
+	// destination.
+	if outcome.TooManyConnections {
 		s.connectionsScarceUntil[ep.kind] = now + s.policy.IdleTimeout
 		ep.setAsideUntil = now + defaultRefusalWait*(1+s.rng.float())
 		return
 	}
-	// Without a limit or a wait, the endpoint refuses because of the calls in flight. Those that remain are what it
-	// accepts; if none remain, the refusal says nothing about that.
-	if t.limit == 0 && o.Wait == 0 {
-		ep.maxCalls = cmp.Or(paceStart*float64(len(ep.calls)), never)
+	// Without a limit or a wait, the endpoint refuses because of the calls in flight. The number of those that remain is what
+	// it accepts; if none remain, the refusal does not show that number.
+	if t.limit == 0 && outcome.Wait == 0 {
+		ep.maxCalls = cmp.Or(initialPaceShare*float64(len(ep.calls)), never)
 	}
-	wait := cmp.Or(max(0, o.Wait), defaultRefusalWait)
+	wait := cmp.Or(max(0, outcome.Wait), defaultRefusalWait)
 	t.blockedUntil = max(t.blockedUntil, now+wait)
 	t.refusedSince, t.consecutiveRefusals = min(t.refusedSince, now), t.consecutiveRefusals+1
 	t.lastRefusal, t.jitter = now, s.rng.float()
 	// With much of the limit left the refusal may come from an outage instead.
-	unlikelyLimit := s.routes.SeparateByKind[ep.kind] && o.LimitLeft > ampleLimitLeft
+	unlikelyLimit := s.routes.SeparateByKind[ep.kind] && outcome.LimitLeft > ampleLimitLeft
 	if unlikelyLimit {
 		t.jitter *= unlikelyLimitSpread
 	}
 	t.refusalSamples = appendLast(t.refusalSamples, 1, healthSamples)
-	// Other dispatchers may have used the limit up. An outage that is reported as an exhausted limit is thus detected one
-	// refusal later.
-	limitExhausted := !s.routes.SeparateByKind[ep.kind] && o.LimitReported && o.LimitLeft <= ampleLimitLeft &&
+	// Other dispatchers may have used up the limit, so the first maxLimitRefusals refusals that report this are not treated as
+	// an outage. An outage that is reported as an exhausted limit is thus detected one refusal later.
+	limitExhausted := !s.routes.SeparateByKind[ep.kind] && outcome.LimitReported && outcome.LimitLeft <= ampleLimitLeft &&
 		t.consecutiveRefusals <= maxLimitRefusals
 	if !limitExhausted && now+wait-t.refusedSince > refusalOutageAfter || unlikelyLimit && t.refusedSince < now {
 		s.eject(now, t)
 	}
 }
 
-// recordFailure records a push that ended with an error, a timeout, or a failed connection.
-func (s *Scheduler) recordFailure(now float64, c *call, h *heldNotification, o Outcome) {
+// recordFailure records a push that ended with an error, a timeout, or a failed connection, and decides whether its
+// destination is in an outage.
+func (s *Scheduler) recordFailure(now float64, c *call, h *heldNotification, outcome Outcome) {
 	t, ep := c.throttle, c.endpoint
-	if o.Result == NotConnected || o.Result == Reset {
+	if outcome.Result == NotConnected || outcome.Result == Reset {
 		s.connectionsScarceUntil[ep.kind] = now + s.policy.IdleTimeout
 	}
-	if h.timeoutCut && o.Result == TimedOut { // a timeout cut short by the TTL says nothing about the endpoint
+	if h.timeoutCut && outcome.Result == TimedOut { // a timeout cut short by the TTL says nothing about the endpoint
 		return
 	}
-	if o.Result == Failed || o.Result == TimedOut {
+	if outcome.Result == Failed || outcome.Result == TimedOut {
 		health := ep.topics[h.Topic]
-		// A single failure among deliveries says nothing.
+		// A single failure soon after a delivery is disregarded.
 		if health.failures++; health.failures > 1 || now-health.lastDelivery > topicServedSpan {
 			health.avoidedUntil = now + topicAvoidance*(1+s.rng.float())
 		}
 		ep.topics[h.Topic] = health
 	}
-	// Single connections break too. Resets count only once the endpoint has been unusually silent since the first failure.
+	// Single connections break without an outage. Resets count only once the endpoint has been unusually silent since the first
+	// failure.
 	if ep.firstFailure < ep.lastAnswer {
 		ep.firstFailure = now
 	}
-	if o.Result == Reset && now-ep.firstFailure < silentGaps*smoothedMean(ep.answerGaps, 0) {
+	if outcome.Result == Reset && now-ep.firstFailure < unusualSilenceGaps*smoothedMean(ep.answerGaps, 0) {
 		return
 	}
 	if c.failureCounted { // the notifications of a call share one failure
@@ -127,62 +130,64 @@
 	}
 	c.failureCounted = true
 	t.sendOutcomes = appendLast(t.sendOutcomes, sample{c.startedAt, 1}, maxSendOutcomes)
-	if c.startedAt < t.lastDeliveredSend { // a later push was delivered, so this failure says nothing about the present
-		if resumedAt, found := t.outageEnd(c.startedAt); found && o.Result != Failed && !t.recovering {
+	if c.startedAt < t.lastDeliveredSend { // a push that started later was delivered, so this failure shows no present outage
+		if resumedAt, found := t.outageEnd(c.startedAt); found && outcome.Result != Failed && !t.recovering {
 			t.recovering, t.respondingSince, t.firstAnswer = true, resumedAt, resumedAt
 		}
 		return
 	}
 	t.outcomes = appendLast(t.outcomes, sample{now, 1}, maxPushSamples)
 	t.lastFailure, t.lastFailureDuration = now, now-c.startedAt
-	if o.Result == Failed {
+	if outcome.Result == Failed {
 		ep.lastAnswer = now
-	} else if o.Result != TimedOut || ep.lastAnswer < c.startedAt { // a single timeout among answers says nothing
+	} else if outcome.Result != TimedOut || ep.lastAnswer < c.startedAt { // a single timeout among answers is disregarded
 		ep.setAsideUntil = now + setAsideBase + setAsideJitter*s.rng.float()
 	}
 	s.classifyFirstFailure(t, true)
 	recentOutcomes := t.outcomes[max(0, len(t.outcomes)-healthSamples):]
 	failures, consecutive := countFailures(recentOutcomes), countFailures(recentOutcomes[max(0, len(recentOutcomes)-2):])
-	// A connection broke earlier and there has been no answer since.
-	failedAgain := o.Result == NotConnected && ep.firstFailure > ep.lastAnswer && ep.firstFailure < now
+	// An earlier push of the endpoint failed too, for example by a reset, and it has not answered since.
+	failedAgain := outcome.Result == NotConnected && ep.firstFailure > ep.lastAnswer && ep.firstFailure < now
 	// noDelivery: nothing was delivered while the push was in flight.
 	switch noDelivery := t.lastDelivery < c.startedAt; {
 	case noDelivery && (consecutive == 2 || failedAgain || s.routes.SeparateByKind[ep.kind] ||
-		s.rng.float() < s.outageProbability(now, c, h, o)):
+		s.rng.float() < s.outageProbability(now, c, h, outcome)):
 		s.eject(now, t)
-	case failures >= 2 && 2*failures >= len(recentOutcomes) && !t.inOutage(): // most calls fail, but not all
+	case failures >= 2 && 2*failures >= len(recentOutcomes) && !t.inOutage(): // at least half of the latest pushes failed
 		t.recovering, t.respondingSince, t.firstAnswer = true, now, now
 	}
 }
 
 // outageProbability returns the probability that a first failure of a destination, with nothing delivered while the push
-// was in flight, is part of an outage. If first failures were never treated as outages, each dispatcher with one would push
-// once more. Where each dispatcher has few calls, those would be nearly all the calls that reach a destination as it
-// returns. The prior is the share of earlier first failures with the same result that were part of an outage; a short
-// timeout lowers it. The probability rises with the number of answers that were due in the meantime.
-func (s *Scheduler) outageProbability(now float64, c *call, h *heldNotification, o Outcome) float64 {
-	if o.Result == Failed { // the destination answers
+// was in flight, is part of an outage. It marks the failure for classifyFirstFailure. If first failures were never treated
+// as outages, each dispatcher with one would push once more. Where each dispatcher has few calls, those would be nearly all
+// the calls that reach a destination as it returns. The prior is the share of earlier first failures with the same result
+// that were part of an outage; a short timeout lowers it. The probability rises with the number of deliveries that were
+// expected while the push was in flight.
+func (s *Scheduler) outageProbability(now float64, c *call, h *heldNotification, outcome Outcome) float64 {
+	if outcome.Result == Failed { // the destination answers
 		return 0
 	}
 	t, recovery := c.throttle, s.recovery
-	if e, ok := s.dir.Find(h.Dest, o.Endpoint); ok &&
-		recovery.OverloadFactor*recovery.InitialCapacity*s.destinationRate(e, t)*recovery.OverloadSpan >= float64(recovery.Dispatchers-1) {
+	if e, ok := s.dir.Find(h.Dest, outcome.Endpoint); ok &&
+		recovery.OverloadFactor*recovery.InitialCapacity*s.destinationRate(e, t)*recovery.OverloadSpan >=
+			float64(recovery.Dispatchers-1) {
 		return 0 // one more call from each other dispatcher is within the recovery budget
 	}
-	t.firstFailure = o.Result
-	counts := s.firstFailures[o.Result]
+	t.firstFailure = outcome.Result
+	counts := s.firstFailures[outcome.Result]
 	prior := (priorOutageShare*priorOutageWeight + counts.outages) / (priorOutageWeight + counts.outages + counts.isolated)
-	if o.Result == TimedOut {
+	if outcome.Result == TimedOut {
 		silenceRatio := (now - c.startedAt) / smoothedMean(c.endpoint.latencies, smoothedMean(s.latencies, 0)) / timeoutLatencies
 		prior *= min(1, silenceRatio*silenceRatio)
 	}
 	delivered := 0.0
-	for _, outcome := range t.outcomes {
-		if outcome.weight == 0 && outcome.at > c.startedAt-recovery.WarmUp && outcome.at <= c.startedAt {
+	for _, past := range t.outcomes {
+		if past.value == 0 && past.at > c.startedAt-recovery.WarmUp && past.at <= c.startedAt {
 			delivered++
 		}
 	}
-	// The probability that no delivery was due while the push was in flight, at the rate of the deliveries before it.
+	// The probability of no delivery while the push was in flight, without an outage, at the rate of the deliveries before it.
 	chanceOfNone := math.Exp(-delivered / recovery.WarmUp * (now - c.startedAt))
 	return prior / (prior + (1-prior)*chanceOfNone)
 }
@@ -199,20 +204,20 @@
 	t.firstFailure = Delivered
 }
 
-// outageEnd looks for an outage that is already over: several pushes in a row, by the time they were sent, that failed
-// before one that was delivered. It returns when that one was sent and whether there is such an outage. An outage shorter
-// than the timeouts is only found this way. A single failure among answers does not count.
-func (t *throttle) outageEnd(at float64) (resumedAt float64, found bool) {
+// outageEnd reports whether a failed push, sent at sentAt, was part of an outage that is already over: several pushes in a
+// row, by the time they were sent, failed before one that was delivered. It also returns when that one was sent. An outage
+// shorter than the timeouts is only found this way. A single failure among deliveries does not count.
+func (t *throttle) outageEnd(sentAt float64) (resumedAt float64, found bool) {
 	before, after, failures := -never, never, 0
-	for _, f := range t.sendOutcomes {
-		if f.weight == 0 && f.at <= at {
-			before = max(before, f.at)
-		} else if f.weight == 0 {
-			after = min(after, f.at)
+	for _, outcome := range t.sendOutcomes {
+		if outcome.value == 0 && outcome.at <= sentAt {
+			before = max(before, outcome.at)
+		} else if outcome.value == 0 {
+			after = min(after, outcome.at)
 		}
 	}
-	for _, f := range t.sendOutcomes {
-		if f.weight > 0 && f.at > before && f.at < after {
+	for _, outcome := range t.sendOutcomes {
+		if outcome.value > 0 && outcome.at > before && outcome.at < after {
 			failures++
 		}
 	}
@@ -221,7 +226,7 @@
 	return after, failures > 1 && after < never && complete
 }
 
-// eject records an outage: the destination does not answer.
+// eject records that an outage of the destination or separate route was detected.
 func (s *Scheduler) eject(now float64, t *throttle) {
 	if !t.inOutage() {
 		t.lastTrial, t.outageSince, t.jitter = now, now, s.rng.float()
@@ -230,13 +235,14 @@
 	t.recovering, t.respondingSince = true, never
 }
 
-// unusuallySilent reports whether the silence of an endpoint is unusual for its answer gaps and latencies so far. Silence is
-// measured from the first push since the last answer; an older push that is still in flight may be lost by itself.
+// unusuallySilent reports whether the silence of an endpoint with calls in flight is unusual for its answer gaps and latencies
+// so far. Silence is measured from the first call in flight that started after the last answer: of an older one, only the
+// answer may have been lost.
 func (s *Scheduler) unusuallySilent(now float64, ep *endpoint) bool {
 	for _, c := range ep.calls {
 		if c.startedAt > ep.lastAnswer {
-			return now-c.startedAt > max(silentGaps*smoothedMean(ep.answerGaps, defaultGap),
-				silentLatencies*smoothedMean(ep.latencies, smoothedMean(s.latencies, defaultGap)))
+			return now-c.startedAt > max(unusualSilenceGaps*smoothedMean(ep.answerGaps, defaultGap),
+				unusualSilenceLatencies*smoothedMean(ep.latencies, smoothedMean(s.latencies, defaultGap)))
 		}
 	}
 	return false
--- a/decide/recovery.go
+++ b/decide/recovery.go
@@ -2,19 +2,19 @@
 
 import "orchiddrift/directory"
 
-// Topic returns the settings of a topic.
+// Topic returns the settings of a topic, or the zero Topic if there is no topic of that name.
 func (s *Scheduler) Topic(name string) Topic { return s.topics[name] }
 
 // KeyCooldown returns how long, in seconds, a key pauses after a push that may still run.
 func (s *Scheduler) KeyCooldown() float64 { return s.policy.KeyCooldown }
 
-// RecoveryBudget returns how many calls in the given span, in seconds, the settings allow all dispatchers together for the
-// destination or route of an endpoint in slow start. ok is false if this dispatcher has detected no outage of it, if slow
-// start is over, or if its capacity is unknown.
+// RecoveryBudget returns the recovery budget of the destination, or separate route, of an endpoint: how many calls in any span
+// of the returned length, in seconds, the settings allow all dispatchers together. ok is false if this dispatcher has
+// detected no outage of it, if slow start is over, or if its capacity is unknown.
 func (s *Scheduler) RecoveryBudget(now float64, e directory.Endpoint) (calls, span float64, ok bool) {
 	t := s.throttle(e)
 	rate := s.destinationRate(e, t)
-	if !s.inSlowStart(now, t) || rate <= 0 {
+	if !s.stillRecovering(now, t) || rate <= 0 {
 		return 0, 0, false
 	}
 	return s.recovery.OverloadFactor * s.capacityShare(now, t) * rate * s.recovery.OverloadSpan, s.recovery.OverloadSpan, true
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -11,21 +11,21 @@
 // allow for a cold one. Each dispatcher uses its share of that recovery budget.
 
 const (
-	maxElapsedShare  = 0.5  // share of slow start that may be counted as elapsed when a destination first answers
-	budgetUse        = 0.8  // share of the recovery budget that is used
-	exhaustedLeft    = 0.05 // share of a limit left below which more may be asked for than the limit allows
-	exhaustedUsage   = 1.3  // usage, in limits, assumed below exhaustedLeft and before any is reported
-	minUsage         = 0.2  // lower bound of the expected usage, as a share of the limit
-	maxTrialDensity  = 3.0  // upper bound of the factor on the trial rate that makes up for dispatchers with nothing to try
-	minTrialDensity  = 2.0  // lower bound of the factor on the trial rate that makes up for dispatchers with nothing to try
-	trialSlotDivisor = 4    // at most one slot in this many is used for destinations in an outage
+	maxElapsedShare    = 0.5  // largest share of slow start that is counted as elapsed when a destination first answers
+	usedBudgetShare    = 0.8  // share of the recovery budget that is used
+	exhaustedLimitLeft = 0.05 // share of a limit left below which the demand may exceed the limit
+	exhaustedUsage     = 1.3  // usage, as a share of the limit, assumed below exhaustedLimitLeft and before any is reported
+	minUsage           = 0.2  // lower bound of the expected usage, as a share of the limit
+	maxTrialRateFactor = 3.0  // upper bound of the factor on the trial rate that makes up for dispatchers with nothing to try
+	minTrialRateFactor = 2.0  // lower bound of the factor on the trial rate that makes up for dispatchers with nothing to try
+	trialSlotDivisor   = 4    // one slot in this many, but at least one, may be used for destinations in an outage
 )
 
-// recoveryStart returns when the next push may go to a recovering destination, so that all dispatchers together send no
-// more than a cold destination can take. During the outage one push is sent at a time, and jitter spreads the trials of the
-// dispatchers.
+// recoveryStart returns when the next push to a destination may start, such that all dispatchers together send no more than
+// the destination can take if it recovers: now if it does not, never if that takes an outcome first. During the outage one
+// push is sent at a time, and jitter spreads the trials of the dispatchers.
 func (s *Scheduler) recoveryStart(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
-	if t.recovering = s.inSlowStart(now, t); !t.recovering {
+	if t.recovering = s.stillRecovering(now, t); !t.recovering {
 		return now
 	}
 	if t.respondingSince == never {
@@ -38,14 +38,14 @@
 		}
 		return max(s.nextTrialAt(d, e, t), max(t.lastTrial, t.blockedUntil)+pause)
 	}
-	rate := budgetUse * s.recovery.OverloadFactor * s.capacityShare(now, t) * s.cappedDemand(now, d, e, t)
+	rate := usedBudgetShare * s.recovery.OverloadFactor * s.capacityShare(now, t) * s.cappedDemand(now, d, e, t)
 	return s.windowStart(now, t, rate, s.recovery.OverloadSpan)
 }
 
-// inSlowStart reports whether a destination is in an outage or in slow start after it. Slow start lasts its whole time from
-// the first answer received here. The destination may be warm earlier, but all that is held is sent at once when slow start
-// ends.
-func (s *Scheduler) inSlowStart(now float64, t *throttle) bool {
+// stillRecovering reports whether a destination is in an outage or in slow start after it. Slow start lasts for
+// Recovery.WarmUp from the first answer to this dispatcher. The destination may be warm earlier, but all notifications held
+// for it are sent at once when slow start ends.
+func (s *Scheduler) stillRecovering(now float64, t *throttle) bool {
 	return t.recovering && (t.inOutage() || t.firstAnswer+s.recovery.WarmUp >= now)
 }
 
@@ -73,22 +73,24 @@
 	return demand
 }
 
-// chanceBound returns how many arrivals a dispatcher may have by random variation if the mean is expected.
+// chanceBound returns the number of arrivals above which random variation does not explain them if the mean is expected.
 func chanceBound(expected float64) float64 { return expected + 1 + math.Sqrt(expected) }
 
-// routeTrialRate returns how often per second a separate route in an outage may be tried. The route may be a small part of
-// its destination, while everything that arrived for the destination may go there.
+// routeTrialRate returns how often per second a separate route in an outage may be tried. The route may have a small part of
+// the capacity of its destination, while everything that arrived for the destination may be sent to it.
 func (s *Scheduler) routeTrialRate(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
 	demand := s.cappedDemand(now, d, e, t)
-	rate := budgetUse * s.recovery.OverloadFactor * s.recovery.InitialCapacity * demand
-	holdingShare := 1 - math.Exp(-demand*(setAsideBase+now-t.outageSince)) // share of dispatchers that hold a notification for it
-	rate *= s.routeShare(e, t) * min(maxTrialDensity, minTrialDensity/holdingShare) *
+	rate := usedBudgetShare * s.recovery.OverloadFactor * s.recovery.InitialCapacity * demand
+	// The expected share of dispatchers that hold a notification for the route.
+	holdingShare := 1 - math.Exp(-demand*(setAsideBase+now-t.outageSince))
+	rate *= s.routeShare(e, t) * min(maxTrialRateFactor, minTrialRateFactor/holdingShare) *
 		s.recovery.OverloadSpan / (s.recovery.OverloadSpan + t.lastFailureDuration)
-	return rate / (1 + sharedPushWeight*float64(max(1, min(s.capacity.BatchSize[e.Kind], len(d.queue)))-1)) // they share a call
+	// A trial carries as many queued notifications as fit into a call.
+	return rate / (1 + sharedPushWeight*float64(max(1, min(s.capacity.BatchSize[e.Kind], len(d.queue)))-1))
 }
 
-// nextTrialAt returns when the next held notification may be tried at a destination in an outage. Each held notification
-// draws an exponentially distributed wait, which has no memory. Its rate is such that the trials of all recent arrivals for
+// nextTrialAt returns when the next queued notification may be tried at a destination in an outage. Each queued notification
+// draws an exponentially distributed wait, which is memoryless. Its rate is such that the trials of all recent arrivals for
 // the destination, here and at other dispatchers, add up to the recovery budget.
 func (s *Scheduler) nextTrialAt(d *destination, e directory.Endpoint, t *throttle) float64 {
 	from := max(t.lastTrial, t.blockedUntil)
@@ -99,13 +101,14 @@
 			rateSum += 1 / s.trialSpan(h)
 		}
 	}
-	trialsEach := s.recovery.OverloadFactor * s.recovery.InitialCapacity / s.expectedUsage(t) // trials per held notification
+	trialsEach := s.recovery.OverloadFactor * s.recovery.InitialCapacity / s.expectedUsage(t) // trials per recent notification
 	evenShare, span := s.evenShare(s.destinationRate(e, t)), max(s.recovery.WarmUp, 1)
 	if expected := span * evenShare; expected > 0 && recentCount > chanceBound(expected) {
 		trialsEach *= chanceBound(expected) / recentCount
 	}
-	// Besides, an even share is used, divided among as many dispatchers as are expected to hold a notification.
-	minRate := budgetUse * s.recovery.OverloadFactor * s.recovery.InitialCapacity * evenShare * (1 - math.Exp(-evenShare*span))
+	// All queued notifications together are tried at least at an even share of the recovery budget, times the probability that
+	// a dispatcher has a recent notification for the destination.
+	minRate := usedBudgetShare * s.recovery.OverloadFactor * s.recovery.InitialCapacity * evenShare * (1 - math.Exp(-evenShare*span))
 	extraRate := max(0, minRate-trialsEach*rateSum) / float64(max(1, len(d.queue)))
 	earliest := never
 	for _, h := range d.queue {
@@ -114,8 +117,8 @@
 	return earliest
 }
 
-// trialAt returns when h may be tried, counted from a given time: at its rate while it counts as recent, and at the extra
-// rate alone after that.
+// trialAt returns when h may be tried if its wait begins at from, in seconds. While h counts as recent it is tried trialsEach
+// times per trialSpan on average, plus extraRate times per second; after that, extraRate times per second.
 func (s *Scheduler) trialAt(h *heldNotification, t *throttle, from, trialsEach, extraRate float64) float64 {
 	if h.trialWaitDrawnAt != t.lastTrial {
 		h.trialWaitDrawnAt, h.trialWait = t.lastTrial, -math.Log(1-s.rng.float())
@@ -132,21 +135,22 @@
 	return max(recentUntil, begin) + (h.trialWait-max(0, recentUntil-begin)*rate)/extraRate
 }
 
-// trialSpan returns how long, in seconds, a notification counts as recent, which is no longer than it may be held.
+// trialSpan returns how long, in seconds, a notification counts as recent: for the warm-up time or its TTL, whichever is
+// shorter, but at least 1 s.
 func (s *Scheduler) trialSpan(h *heldNotification) float64 {
 	return max(1, min(h.topic.TTL, s.recovery.WarmUp))
 }
 
-// expectedUsage returns the share of its limit that is asked of a destination, from answers before the outage. While there
-// are few of those, the answers of all destinations stand in.
+// expectedUsage returns the demand for a destination, as a share of its limit, from the answers before the outage. While there
+// are few of those, the answers of all destinations are used too.
 func (s *Scheduler) expectedUsage(t *throttle) float64 {
 	return max(minUsage, smoothedMean(t.usageSamples, smoothedMean(s.usageSamples, exhaustedUsage)))
 }
 
-// recordUsage records the share of a limit that is left, as reported by a destination that is not in slow start.
+// recordUsage records the usage of a limit from the share that is left, as reported by a destination that is not recovering.
 func (s *Scheduler) recordUsage(t *throttle, limitLeft float64) {
 	used := 1 - limitLeft
-	if limitLeft < exhaustedLeft {
+	if limitLeft < exhaustedLimitLeft {
 		used = exhaustedUsage
 	}
 	t.usageSamples = appendLast(t.usageSamples, used, maxSamples)
@@ -180,9 +184,10 @@
 	return max(demand, s.evenShare(s.destinationRate(e, t)))
 }
 
-// routeShare returns the share of a route in its destination, from the reported limits of the ready routes, since everything
-// that arrived may be about to go there. A limit that is not reported counts as this one's; if this one's is not, all routes
-// count the same. An endpoint that is not a separate route has a share of 1.
+// routeShare returns the share of a route in the capacity of its destination, from the reported limits of the ready routes,
+// since everything that arrived for the destination may be sent to one route. A route without a reported limit counts as if
+// it had the limit of this one; if this one has none, all routes count the same. An endpoint that is not a separate route has
+// a share of 1.
 func (s *Scheduler) routeShare(e directory.Endpoint, t *throttle) float64 {
 	if !s.routes.SeparateByKind[e.Kind] {
 		return 1
@@ -202,7 +207,8 @@
 	return ownLimit / sum
 }
 
-// trialCalls returns the number of calls in flight to destinations in an outage. It protects the slots when several hang.
+// trialCalls returns the number of calls in flight to destinations in an outage. They are limited so that several hanging
+// destinations cannot take all slots.
 func (s *Scheduler) trialCalls() int {
 	calls := 0
 	for _, t := range s.outages {
--- a/decide/state.go
+++ b/decide/state.go
@@ -7,6 +7,7 @@
 	"orchiddrift/directory"
 )
 
+// never stands for a time that is not reached, and for a number without bound.
 var never = math.Inf(1)
 
 // Scheduler makes all decisions of one dispatcher. It has no clock and no goroutines: callers pass the time, in seconds. It
@@ -21,20 +22,20 @@
 	recovery               Recovery
 	policy                 PushPolicy
 	quotas                 TenantQuotas
-	tenantArrivals         map[string][]float64 // when the last notifications of each tenant arrived
-	listOnRequest          bool                 // the list is sent only on request
-	revisionAtRequest      int                  // revision of the list when it was last requested
-	revisionAtEviction     int                  // revision of the list when unused state was last evicted
-	nextListRequest        float64              // when to request the list; never if that is not due
-	held                   map[string]*heldNotification
-	keys                   map[string][]*heldNotification
-	keysBlockedUntil       float64 // no notification with an ordering key starts before
-	destinations           map[string]*destination
+	tenantArrivals         map[string][]float64           // when the last notifications of each tenant arrived
+	listOnRequest          bool                           // the list is sent only on request
+	revisionAtRequest      int                            // revision of the list when it was last requested
+	revisionAtEviction     int                            // revision of the list when unused state was last evicted
+	nextListRequest        float64                        // when to request the list; never if that is not due
+	held                   map[string]*heldNotification   // by ID
+	heldByKey              map[string][]*heldNotification // by ordering key, in the order taken
+	keysBlockedUntil       float64                        // no notification with an ordering key starts before
+	destinations           map[string]*destination        // by ID
 	throttles              map[throttleID]*throttle
-	endpoints              map[string]*endpoint
-	round                  []*destination
-	roundIndex             int
-	quantumGranted         bool
+	endpoints              map[string]*endpoint // by ID
+	round                  []*destination       // destinations with queued notifications, in the order of their turns
+	roundIndex             int                  // index in round of the destination whose turn it is
+	quantumGranted         bool                 // that destination has its quantum for this turn
 	callsInFlight          int
 	outages                []*throttle                         // throttles in an outage
 	latencies              []float64                           // latest latencies of all endpoints, in seconds
@@ -52,17 +53,17 @@
 	topic            Topic
 	expiresAt        float64 // end of its TTL
 	sequence         int     // position in the order in which notifications were taken
-	pushes           int
+	pushes           int     // pushes used, including those before a restart
 	call             *call   // call of the push in flight, or nil
 	mayHaveRunAt     float64 // when the first push that may have run was sent, or never
 	mayHaveRunZone   string  // zone of the endpoint of that push
-	keyBlockedUntil  float64 // its key is available to others from then on, once it is finished
-	finished         bool
-	noticePending    bool // finished, but the client has not received the final answer yet
-	overQuota        bool // it arrived over its tenant's quota
-	displaced        bool // its place in the queue was given to one that is worth more
-	lastSentAt       float64
-	lastZone         string  // zone of the endpoint of its last push as listed then; the list may change before the push ends
+	keyBlockedUntil  float64 // earliest time at which others may use its key, once it is done
+	finished         bool    // it has its final answer and is not pushed again
+	noticePending    bool    // finished, but the client has not received the final answer yet
+	overQuota        bool    // it arrived over its tenant's quota
+	displaced        bool    // its place in the queue was given to a notification with more benefit
+	lastSentAt       float64 // start of its last push
+	lastSentZone     string  // zone of the endpoint of its last push as listed then; the list may change before the push ends
 	timeoutCut       bool    // the timeout of its push was shortened to the time left
 	trialWaitDrawnAt float64 // value of throttle.lastTrial for which trialWait was drawn
 	trialWait        float64 // random wait for a trial of its own, as a multiple of the mean wait
@@ -73,10 +74,11 @@
 	return h.expiresAt - h.topic.TTL + h.topic.Objective
 }
 
-// arrivedAt returns the time at which the TTL began. A notification that arrived with its whole TTL arrived then.
+// arrivedAt returns the time at which the TTL began, which is when a notification with its whole TTL left arrived.
 func (h *heldNotification) arrivedAt() float64 { return h.expiresAt - h.topic.TTL }
 
-// admissionClass groups the notifications of a destination that are admitted alike.
+// admissionClass identifies the notifications of a destination that the same endpoints admit. The zone is that of
+// requiredZone.
 type admissionClass struct{ topic, zone string }
 
 // zoneBound reports whether a push may have run and repeats are recognised in the zone of that push only.
@@ -84,7 +86,8 @@
 	return h.mayHaveRunAt != never && h.topic.DedupScope == "zone"
 }
 
-// requiredZone returns a label of the zone to which the notification is bound, or "" if any will do.
+// requiredZone returns a label for the zone to which the notification is bound, or "" if it may go to any zone. The label is
+// not empty even if the zone is unknown.
 func (h *heldNotification) requiredZone() string {
 	if h.zoneBound() {
 		return "only " + h.mayHaveRunZone
@@ -100,44 +103,45 @@
 	return FirstRun{SentAt: h.mayHaveRunAt, Zone: h.mayHaveRunZone}
 }
 
-// done reports whether the notification is finished, confirmed and without a push in flight.
+// done reports whether the notification is finished, the client has received its final answer, and no push is in flight.
 func (h *heldNotification) done() bool { return h.finished && !h.noticePending && h.call == nil }
 
 // keyReleased reports whether other notifications with the same key may start.
 func (h *heldNotification) keyReleased(now float64) bool { return h.done() && h.keyBlockedUntil <= now }
 
+// ordered reports whether the notification may start only in the order of its key.
 func (h *heldNotification) ordered() bool { return h.topic.Ordered && h.Key != "" }
 
-// call is a call in flight, shared by notifications pushed in the same turn.
+// call is a call in flight, shared by notifications whose pushes started at the same time.
 type call struct {
 	endpoint       *endpoint
 	throttle       *throttle
-	startedAt      float64
-	size           int  // notifications in the call
-	pending        int  // notifications without an outcome
-	failureCounted bool // its failure has been recorded, once for the whole call
+	startedAt      float64 // seconds
+	size           int     // notifications in the call
+	pending        int     // notifications without an outcome
+	failureCounted bool    // its failure has been recorded, once for the whole call
 }
 
-// destination is the queue of a destination.
+// destination holds the queue of a destination and its state in deficit round robin.
 type destination struct {
 	id       string
-	queue    []*heldNotification
-	arrivals []float64 // times of the latest first tries
-	deficit  float64
-	inRound  bool
+	queue    []*heldNotification // in the order of enqueue
+	arrivals []float64           // times of the latest first tries, in seconds
+	deficit  float64             // pushes that may still start in this turn
+	inRound  bool                // it is in Scheduler.round
 }
 
 // throttle holds the limits and measurements of a destination, or of one endpoint that is a separate route. Times are in
 // seconds.
 type throttle struct {
-	inFlight            int
-	blockedUntil        float64 // no push starts before
-	allowance           float64
+	inFlight            int       // calls in flight
+	blockedUntil        float64   // no push starts before
+	allowance           float64   // calls that may start until a new report; never for no bound
 	limit               float64   // last reported limit in calls per second; 0 for none
 	idleSince           float64   // time since which no call has been in flight
-	sentPushes          []sample  // latest pushes by time, with their weight in calls
+	sentPushes          []sample  // latest pushes by time: 1 for the first in a call, sharedPushWeight for each further one
 	outcomes            []sample  // latest outcomes by time: 0 for a delivery, 1 for a failure
-	refusedSince        float64   // time of the first refusal since the last delivery, or never
+	refusedSince        float64   // time of the first refusal since the last delivery; never for none
 	consecutiveRefusals int       // refusals since the last delivery
 	usageSamples        []float64 // usage of the limit that the latest answers reported, as shares
 	refusalSamples      []float64 // latest pushes that were delivered (0) or refused (1)
@@ -153,7 +157,7 @@
 	lastFailure         float64   // time of the last failure that was counted
 	lastFailureDuration float64   // duration of the push that failed last
 	lastTrial           float64   // time of the last push, or of the detection of the outage if that is later
-	jitter              float64   // random factor on the time until the next trial, or on the pause after a refusal
+	jitter              float64   // random factor on the time until the next trial, or on the pause after a refusal; 0 before both
 }
 
 // inOutage reports whether an outage was detected and nothing has been delivered since.
@@ -162,9 +166,11 @@
 // firstFailureCounts counts how many first failures turned out to be part of an outage, and how many were isolated.
 type firstFailureCounts struct{ outages, isolated float64 }
 
-type sample struct{ at, weight float64 }
+// sample is a value and its time in seconds.
+type sample struct{ at, value float64 }
 
-// idleEndpoint is an endpoint that has had no call in flight since then and may have idle connections.
+// idleEndpoint is an endpoint that may have idle connections. If it still has no call in flight, the last one ended at since,
+// in seconds.
 type idleEndpoint struct {
 	endpoint *endpoint
 	since    float64
@@ -174,31 +180,31 @@
 type endpoint struct {
 	id            string
 	kind          string
-	calls         []*call
-	idleSince     float64 // end of its last call
-	preference    float64 // time of its last delivery; before any, or after a refusal, a random number from -1 to 0
-	setAsideUntil float64 // no push is sent to it before
-	maxCalls      float64 // calls in flight that it accepts, derived from refusals; never if unknown
-	lastAnswer    float64 // time of the last answer
-	firstFailure  float64 // time of the first failure since the last answer
-	answerGaps    []float64
-	latencies     []float64
+	calls         []*call                // in flight, in the order started
+	idleSince     float64                // end of its last call
+	preference    float64                // time of its last delivery; before any, or after a refusal, a random number from -1 to 0
+	setAsideUntil float64                // no push is sent to it before
+	maxCalls      float64                // calls in flight that it accepts, derived from refusals; never if unknown
+	lastAnswer    float64                // time of the last answer
+	firstFailure  float64                // time of the first failure since the last answer; 0 until an answer was received
+	answerGaps    []float64              // latest times from an answer, or from the start of the call if later, to a delivery
+	latencies     []float64              // latest latencies of pushes that were delivered
 	topics        map[string]topicHealth // by name
 	lastCallStart float64                // start of its last call
-	callGaps      []float64              // latest times between the starts of two calls
+	callGaps      []float64              // latest times between the starts of two successive calls
 }
 
 // topicHealth describes how an endpoint handles one topic.
 type topicHealth struct {
 	lastDelivery float64 // time of the last delivery, in seconds
 	failures     int     // failures since that delivery
-	avoidedUntil float64 // not pushed to it before, as long as another endpoint can take it
+	avoidedUntil float64 // before this time no push of the topic is sent to it if another endpoint can take it
 }
 
 // evictUnused removes, after each update of the list, state that no decision can depend on any more: unlisted endpoints
 // without calls in flight or idle connections; unlisted destinations with an empty queue; the throttles of both, once no
-// wait applies and slow start is over; keys that all notifications have released; and tenants without a notification in
-// the last quotaSpan.
+// call is in flight, no wait applies and slow start is over; keys that all notifications have released; and tenants without
+// a notification in the last quotaSpan.
 func (s *Scheduler) evictUnused(now float64) {
 	if s.revisionAtEviction == s.dir.Revision {
 		return
@@ -210,8 +216,8 @@
 			delete(s.destinations, id)
 		}
 	}
-	for _, i := range s.idleEndpoints {
-		awaitingClose[i.endpoint.id] = true
+	for _, idle := range s.idleEndpoints {
+		awaitingClose[idle.endpoint.id] = true
 	}
 	for id, ep := range s.endpoints {
 		if !s.dir.Contains(id) && !awaitingClose[id] && len(ep.calls) == 0 {
@@ -220,13 +226,13 @@
 	}
 	for id, t := range s.throttles {
 		listed := id.shared && s.dir.KnownDest(id.owner) || !id.shared && s.dir.Contains(id.owner)
-		if !listed && t.inFlight == 0 && t.blockedUntil <= now && !s.inSlowStart(now, t) {
+		if !listed && t.inFlight == 0 && t.blockedUntil <= now && !s.stillRecovering(now, t) {
 			delete(s.throttles, id)
 		}
 	}
-	for key, list := range s.keys {
+	for key, list := range s.heldByKey {
 		if !slices.ContainsFunc(list, func(h *heldNotification) bool { return !h.keyReleased(now) }) {
-			delete(s.keys, key)
+			delete(s.heldByKey, key)
 		}
 	}
 	for tenant, arrivals := range s.tenantArrivals {
@@ -236,7 +242,8 @@
 	}
 }
 
-// release removes a notification that is done, and from its key those that have released it.
+// release removes a notification if it is done, and removes from the list of its key all notifications that have released
+// the key.
 func (s *Scheduler) release(now float64, h *heldNotification) {
 	if !h.done() {
 		return
@@ -245,8 +252,8 @@
 	if !h.ordered() {
 		return
 	}
-	rested := func(x *heldNotification) bool { return x.keyReleased(now) }
-	s.keys[h.Key] = slices.DeleteFunc(s.keys[h.Key], rested)
+	released := func(x *heldNotification) bool { return x.keyReleased(now) }
+	s.heldByKey[h.Key] = slices.DeleteFunc(s.heldByKey[h.Key], released)
 }
 
 // throttleID identifies a throttle: that of a destination, shared by its endpoints, or that of an endpoint which is a
@@ -256,6 +263,7 @@
 	shared bool
 }
 
+// destination returns the state of a destination, which it creates if there is none.
 func (s *Scheduler) destination(id string) *destination {
 	if s.destinations[id] == nil {
 		s.destinations[id] = &destination{id: id}
@@ -263,6 +271,7 @@
 	return s.destinations[id]
 }
 
+// throttle returns the throttle that applies to an endpoint, which it creates if there is none.
 func (s *Scheduler) throttle(e directory.Endpoint) *throttle {
 	id := throttleID{owner: e.Dest, shared: true}
 	if s.routes.SeparateByKind[e.Kind] {
@@ -276,6 +285,7 @@
 	return t
 }
 
+// endpoint returns the state of an endpoint, which it creates if there is none.
 func (s *Scheduler) endpoint(id string) *endpoint {
 	ep := s.endpoints[id]
 	if ep == nil {
@@ -285,7 +295,8 @@
 	return ep
 }
 
-// listedZone returns the zone in which an endpoint is listed now. It stands in where the zone of a push was not recorded.
+// listedZone returns the zone in which an endpoint is listed now, or "" if it is not listed. It is used if the zone of a push
+// was not recorded.
 func (s *Scheduler) listedZone(destID, id string) string {
 	for _, e := range s.dir.Endpoints(destID) {
 		if e.ID == id {
@@ -295,7 +306,7 @@
 	return ""
 }
 
-// TTL returns the TTL of a topic in seconds, and reports whether the topic exists.
+// TTL returns the TTL of a topic in seconds and reports whether the topic exists.
 func (s *Scheduler) TTL(topic string) (float64, bool) { t, ok := s.topics[topic]; return t.TTL, ok }
 
 // appendLast appends v and keeps the latest n elements.
@@ -313,11 +324,11 @@
 	return sum / float64(len(s)+2)
 }
 
-// countFailures returns the number of failures among outcomes.
+// countFailures returns the number of failures among outcomes, whose values are 1 for a failure and 0 otherwise.
 func countFailures(outcomes []sample) int {
 	n := 0
 	for _, s := range outcomes {
-		n += int(s.weight)
+		n += int(s.value)
 	}
 	return n
 }
@@ -325,6 +336,7 @@
 // pcg is the random number generator PCG-XSH-RR 64/32.
 type pcg struct{ state uint64 }
 
+// float returns a random number from 0 to less than 1.
 func (p *pcg) float() float64 {
 	old := p.state
 	p.state = old*6364136223846793005 + 1442695040888963407
--- a/decide/state_test.go
+++ b/decide/state_test.go
@@ -6,8 +6,8 @@
 	"orchiddrift/directory"
 )
 
-// State of endpoints, destinations, throttles, keys and tenants is removed once it is unlisted and no told wait, outage or key
-// cooldown needs it.
+// State of unlisted endpoints and destinations, of throttles, keys and tenants is removed once no told wait, outage, key
+// cooldown or quota depends on it.
 func Example_evictUnused() {
 	dir := directory.New()
 	s := New(7, dir, []Topic{{Name: "order", Repeat: OnceOnly, TTL: 20, Objective: 2, Benefit: 1, Ordered: true}},
@@ -23,7 +23,7 @@
 		for wait, id := s.NextTurn(now); wait == 0 && id == ""; wait, id = s.NextTurn(now) {
 			s.Place(now, Notification{})
 		}
-		fmt.Println(now, len(s.endpoints), len(s.destinations), len(s.throttles), len(s.keys), len(s.tenantArrivals))
+		fmt.Println(now, len(s.endpoints), len(s.destinations), len(s.throttles), len(s.heldByKey), len(s.tenantArrivals))
 	}
 	update(0, directory.Ready)
 	for _, id := range []string{"A", "B", "C", "D"} {
--- a/decide/types.go
+++ b/decide/types.go
@@ -19,8 +19,8 @@
 	DedupWindow      float64 // Collapsible: repeats are recognised for this long after the first push that may have run
 	DedupScope       string  // Collapsible: repeats are recognised by "all" endpoints of the destination, or by those of one "zone"
 	Objective        float64 // a delivery within this time earns the full benefit
-	TTL              float64
-	Benefit          float64
+	TTL              float64 // a notification is delivered within this time or given up
+	Benefit          float64 // of one delivery, relative to other topics
 	LateBenefit      float64 // share of the benefit that a delivery at the TTL earns
 	ExponentialDecay bool    // the benefit halves with each further objective, down to LateBenefit; otherwise it falls linearly
 	Ordered          bool    // notifications with the same key are pushed one at a time, in the order taken
@@ -36,7 +36,7 @@
 	TimeLeft float64 // time until the TTL ends, in seconds, when the notification arrives
 
 	// The fields below describe a notification that a restarted dispatcher has read back from its ledger.
-	Restored       bool
+	Restored       bool    // it was read back from the ledger
 	NoticePending  bool    // it has its final answer, and only the notice of that is still unacknowledged
 	Pushes         int     // pushes already used
 	RanAt          float64 // time at which the first push that may have run was sent, in seconds; 0 for none
@@ -45,10 +45,11 @@
 	LastPushFailed bool    // its last push ended without an answer that delivered it
 }
 
-// Result says how a push ended.
+// Result says how a push ended, or what else an Outcome reports.
 type Result int
 
-// The results of a push. Throttled to NotAttempted have the numbers of the wire's completion codes.
+// The results. Those before Withdrawn are ends of a push. Throttled to NotAttempted have the numbers of the wire's completion
+// codes.
 const (
 	Delivered    Result = iota
 	Failed              // answered with an error: may have run
@@ -58,12 +59,11 @@
 	Reset               // the connection broke: may have run
 	Cancelled           // cancelled by the dispatcher: may have run
 	NotAttempted        // not sent, or not run for a reason that says nothing about the endpoint
-	Withdrawn           // the client withdrew the notification, or has received its final answer
-	PeerMessage         // a message from another dispatcher
+	Withdrawn           // not a push: the client withdrew the notification, or has received its final answer
+	PeerMessage         // not a push: a message from another dispatcher
 )
 
-// Outcome is the input of Scheduler.HandleOutcome. Latency is the time from the start of the push to its end, in seconds.
-// NotificationID is empty for the result of a probe, for a message from
+// Outcome is the input of Scheduler.HandleOutcome. NotificationID is empty for the result of a probe, for a message from
 // another dispatcher, and for a Wait that Endpoint of Dest told after its push had ended.
 type Outcome struct {
 	NotificationID     string
@@ -72,7 +72,7 @@
 	Result             Result
 	Final              bool // the notification has its final answer
 	Endpoint           string
-	Latency            float64
+	Latency            float64 // time from the start of the push to its end, in seconds
 	Wait               float64 // the wait that the endpoint told, in seconds; 0 for none
 	TooManyConnections bool    // Throttled: the endpoint holds no more connections and closed this one
 	NoSlot             bool    // NotAttempted: all slots were taken
@@ -105,14 +105,14 @@
 	Action         Action
 	NotificationID string
 	Endpoint       string
-	Timeout        float64
+	Timeout        float64  // Push: the push ends without an answer after this time
 	AnswerValidFor float64  // Push: an answer within this time counts, also for the other notifications of the call
 	StartWithin    float64  // Push: it starts within this time or is returned unsent; +Inf if unbounded
 	NewConnection  bool     // Push: use a new connection
 	FirstRun       FirstRun // Push: the first push of the notification that may have run
-	RetryIn        float64
-	PushNumber     int
-	Body           string
+	RetryIn        float64  // Throttle: time after which the client is advised to submit the notification again
+	PushNumber     int      // CancelPush: number of the push
+	Body           string   // Broadcast: the message
 }
 
 // FirstRun identifies the first push of a notification that may have run.
@@ -128,17 +128,16 @@
 	BatchSize map[string]int // by kind: most notifications in one call
 }
 
-// Routes describes how endpoints are throttled and what pushes cost. SeparateByKind says which kinds of endpoints are routes
-// of their own, throttled apart from the other endpoints of their destination. FeeByZone is the cost of a push to an endpoint
-// of a zone. With FreeRefusals a refused push costs nothing.
+// Routes describes how endpoints are throttled and what pushes cost. An endpoint that is a separate route has a throttle of
+// its own; the others share that of their destination.
 type Routes struct {
-	SeparateByKind map[string]bool
-	FeeByZone      map[string]float64
-	FreeRefusals   bool
+	SeparateByKind map[string]bool    // by kind: whether endpoints of it are separate routes
+	FeeByZone      map[string]float64 // by zone: cost of a push to an endpoint in it
+	FreeRefusals   bool               // a refused push costs nothing
 }
 
-// Recovery describes what a destination can take as it returns from an outage, from all Dispatchers together. Times are in
-// seconds.
+// Recovery describes how many calls a destination can take, from all Dispatchers together, as it returns from an outage.
+// Times are in seconds.
 type Recovery struct {
 	InitialCapacity, WarmUp      float64 // share of capacity at its return, and time until it has all of it
 	OverloadFactor, OverloadSpan float64 // it fails again if sent more than OverloadFactor times its capacity for OverloadSpan
