--- a/decide/decide.go
+++ b/decide/decide.go
@@ -99,13 +99,14 @@
 			s.revisionAtRequest, s.nextListRequest = s.dir.Revision, never
 			return Decision{Action: WatchList}
 		}
-		dueIndex := slices.IndexFunc(s.idleEndpoints, func(dueIndex idleEndpoint) bool { return s.idleCloseAt(now, dueIndex) <= now })
+		dueIndex := slices.IndexFunc(s.idleEndpoints,
+			func(idle idleEndpoint) bool { return s.idleCloseAt(now, idle) <= now })
 		ep := s.idleEndpoints[dueIndex].endpoint
 		s.idleEndpoints = slices.Delete(s.idleEndpoints, dueIndex, dueIndex+1)
 		return Decision{Action: CloseIdle, Endpoint: ep.id}
 	}
 	h, known := s.held[ntf.ID]
-	d := s.destination(ntf.Dest)
+	dest := s.destination(ntf.Dest)
 	if !known {
 		h = &heldNotification{Notification: ntf, topic: s.topics[ntf.Topic], expiresAt: now + ntf.TimeLeft, mayHaveRunAt: never}
 		firstTry := ntf.TimeLeft > h.topic.TTL-firstTryMargin && !ntf.Restored
@@ -113,11 +114,12 @@
 		freeRoom := (1-reservedShare)*float64(s.capacity.MaxHeld) - float64(len(s.held))
 		// A notification that waits for its key needs room, but is not limited by the queue bound.
 		queuesBehindKey := freeRoom > 0 && h.ordered() && len(s.heldByKey[h.Key]) > 0
-		if !ntf.Restored && (!s.dir.KnownDest(d.id) || !queuesBehindKey && len(d.queue) >= s.queueBound(h) && !s.displace(now, d, h)) {
-			return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: s.retryIn(now, d)}
+		if !ntf.Restored && (!s.dir.KnownDest(dest.id) ||
+			!queuesBehindKey && len(dest.queue) >= s.queueBound(h) && !s.displace(now, dest, h)) {
+			return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: s.retryIn(now, dest)}
 		}
 		if ntf.Restored {
-			s.staggerRestored(now, d, h)
+			s.staggerRestored(now, dest, h)
 		}
 		if ntf.LastPushFailed {
 			s.slowStartAfterRestart(now, ntf)
@@ -128,7 +130,7 @@
 		}
 		s.held[h.ID] = h
 		if firstTry {
-			d.arrivals = appendLast(d.arrivals, now, maxPushSamples)
+			dest.arrivals = appendLast(dest.arrivals, now, maxPushSamples)
 		}
 		if h.ordered() {
 			s.heldByKey[h.Key] = append(s.heldByKey[h.Key], h)
@@ -136,25 +138,25 @@
 		s.takenCount, s.benefitSum = s.takenCount+1, s.benefitSum+h.topic.Benefit
 		h.sequence = s.takenCount
 		if h.finished, h.noticePending = ntf.NoticePending, ntf.NoticePending; !h.finished {
-			s.enqueue(d, h)
+			s.enqueue(dest, h)
 		}
 		return Decision{}
 	}
 	if h.finished || h.call != nil {
 		return Decision{}
 	}
-	if s.cannotDeliver(now, d, h) {
-		return s.giveUp(now, d, h)
+	if s.cannotDeliver(now, dest, h) {
+		return s.giveUp(now, dest, h)
 	}
-	e, _ := s.selectEndpoint(now, d, h)
-	if e == nil || s.keyFreeAt(now, h) > now {
+	entry, _ := s.selectEndpoint(now, dest, h)
+	if entry == nil || s.keyFreeAt(now, h) > now {
 		return Decision{}
 	}
-	t, ep := s.throttle(*e), s.endpoint(e.ID)
-	ep.kind, d.deficit = e.Kind, d.deficit-1
-	s.dequeue(d, h)
+	t, ep := s.throttle(*entry), s.endpoint(entry.ID)
+	ep.kind, dest.deficit = entry.Kind, dest.deficit-1
+	s.dequeue(dest, h)
 	pushWeight := sharedPushWeight
-	if c := s.joinableCall(now, *e); c != nil {
+	if c := s.joinableCall(now, *entry); c != nil {
 		c.size++
 		c.pending++
 		h.call = c
@@ -172,32 +174,33 @@
 	}
 	t.sentPushes = appendLast(t.sentPushes, sample{now, pushWeight}, maxPushSamples)
 	t.lastTrial, t.jitter = now, 0.5+s.rng.float()
-	h.pushes, h.lastSentAt, h.lastSentZone = h.pushes+1, now, e.Zone
+	h.pushes, h.lastSentAt, h.lastSentZone = h.pushes+1, now, entry.Zone
 	// The client counts the TTL from when it sent the notification, which is earlier than its arrival here. An answer in
 	// the last tick may therefore be late.
 	timeout, validFor := s.pushTimeout(t, ep, h), max(0, h.expiresAt-s.policy.Tick-now)
 	h.timeoutCut = validFor < timeout
-	// Where connections are scarce an endpoint may close a kept one during the push, so once-only notifications use a new one.
-	return Decision{Action: Push, NotificationID: h.ID, Endpoint: e.ID, Timeout: min(timeout, validFor), AnswerValidFor: validFor,
-		StartWithin: s.dedupUntil(h) - now, FirstRun: h.firstRun(),
-		NewConnection: h.topic.Repeat == OnceOnly && s.connectionsScarceUntil[e.Kind] > now}
+	// Where connections are scarce an endpoint may close an idle one just as a push uses it, so once-only notifications use a
+	// new one.
+	return Decision{Action: Push, NotificationID: h.ID, Endpoint: entry.ID, Timeout: min(timeout, validFor),
+		AnswerValidFor: validFor, StartWithin: s.dedupUntil(h) - now, FirstRun: h.firstRun(),
+		NewConnection: h.topic.Repeat == OnceOnly && s.connectionsScarceUntil[entry.Kind] > now}
 }
 
 // HandleOutcome records how a push ended and decides what becomes of its notification: it is finished, given up, or queued
 // again. It also takes told waits that arrive after their push ended, and withdrawn notifications.
 func (s *Scheduler) HandleOutcome(now float64, outcome Outcome) Decision {
 	h := s.held[outcome.NotificationID]
-	if e, ok := s.dir.Find(outcome.Dest, outcome.Endpoint); ok { // a wait that was told after the push had ended
-		t := s.throttle(e)
+	if entry, ok := s.dir.Find(outcome.Dest, outcome.Endpoint); ok { // a wait that was told after the push had ended
+		t := s.throttle(entry)
 		t.blockedUntil = max(t.blockedUntil, now+outcome.Wait)
 	}
 	if h == nil {
 		return Decision{}
 	}
-	d := s.destination(h.Dest)
+	dest := s.destination(h.Dest)
 	if outcome.Result == Withdrawn {
 		h.finished, h.noticePending = true, false
-		s.dequeue(d, h)
+		s.dequeue(dest, h)
 		s.release(now, h)
 		return Decision{}
 	}
@@ -237,10 +240,10 @@
 		s.release(now, h)
 		return Decision{}
 	}
-	if s.cannotDeliver(now, d, h) {
-		return s.giveUp(now, d, h)
+	if s.cannotDeliver(now, dest, h) {
+		return s.giveUp(now, dest, h)
 	}
-	s.enqueue(d, h)
+	s.enqueue(dest, h)
 	return Decision{}
 }
 
@@ -255,8 +258,8 @@
 	if id := s.Undeliverable(now); id != "" {
 		return 0, id
 	}
-	for _, d := range s.round {
-		for _, h := range d.queue {
+	for _, dest := range s.round {
+		for _, h := range dest.queue {
 			next = min(next, s.latestStart(h))
 		}
 	}
@@ -270,9 +273,9 @@
 // Undeliverable returns the ID of a queued notification that can no longer be delivered, or "". Place gives that
 // notification its final answer.
 func (s *Scheduler) Undeliverable(now float64) string {
-	for _, d := range s.round {
-		for _, h := range d.queue {
-			if s.cannotDeliver(now, d, h) {
+	for _, dest := range s.round {
+		for _, h := range dest.queue {
+			if s.cannotDeliver(now, dest, h) {
 				return h.ID
 			}
 		}
@@ -295,14 +298,14 @@
 		if s.roundIndex >= len(s.round) {
 			s.roundIndex = 0
 		}
-		d := s.round[s.roundIndex]
-		h, when := s.firstReady(now, d)
+		dest := s.round[s.roundIndex]
+		h, when := s.firstReady(now, dest)
 		if h != nil {
 			if !s.quantumGranted {
-				d.deficit += quantum * s.weight(d, h)
+				dest.deficit += quantum * s.weight(dest, h)
 				s.quantumGranted = true
 			}
-			if d.deficit >= 1 {
+			if dest.deficit >= 1 {
 				return h, now
 			}
 		} else {
@@ -317,27 +320,27 @@
 
 // weight returns the factor on the quantum of a destination: the benefit of h, the notification that is next, but at least
 // 1, times the largest batch, so that one turn can fill a shared call.
-func (s *Scheduler) weight(d *destination, h *heldNotification) float64 {
+func (s *Scheduler) weight(dest *destination, h *heldNotification) float64 {
 	batch := 1
-	for _, e := range s.dir.Endpoints(d.id) {
-		batch = max(batch, s.capacity.BatchSize[e.Kind])
+	for _, entry := range s.dir.Endpoints(dest.id) {
+		batch = max(batch, s.capacity.BatchSize[entry.Kind])
 	}
 	return float64(batch) * max(1, h.topic.Benefit)
 }
 
 // firstReady returns the first notification of a queue that may start now, or nil and the time at which one may start.
-func (s *Scheduler) firstReady(now float64, d *destination) (*heldNotification, float64) {
+func (s *Scheduler) firstReady(now float64, dest *destination) (*heldNotification, float64) {
 	next := never
 	// A notification that cannot have run may go to any endpoint. If one with the highest benefit is not admitted, no other
 	// notification is (blocked). If one with a lower benefit is not, no other with a lower benefit is (blockedLow).
 	blocked, blockedLow := false, false
 	var blockedClasses []admissionClass
 	// Where the benefit decays exponentially, notifications past their objective lose little more by waiting and come last.
-	firstTimely := slices.IndexFunc(d.queue, func(h *heldNotification) bool {
+	firstTimely := slices.IndexFunc(dest.queue, func(h *heldNotification) bool {
 		return !h.topic.ExponentialDecay || h.objectiveEnd() > now
 	})
-	for i := range d.queue {
-		h := d.queue[(max(0, firstTimely)+i)%len(d.queue)]
+	for i := range dest.queue {
+		h := dest.queue[(max(0, firstTimely)+i)%len(dest.queue)]
 		lowBenefit := h.topic.Benefit < s.maxBenefit
 		if blocked || blockedLow && lowBenefit {
 			continue
@@ -351,8 +354,8 @@
 			continue
 		}
 		blockedClasses = append(blockedClasses, class)
-		e, when := s.selectEndpoint(now, d, h)
-		if e != nil {
+		entry, when := s.selectEndpoint(now, dest, h)
+		if entry != nil {
 			return h, now
 		}
 		if next = min(next, when); h.mayHaveRunAt == never {
@@ -365,51 +368,51 @@
 // selectEndpoint returns the endpoint with the fewest calls in flight among those that admit h, or nil and the time at
 // which one may admit it. A tie goes to the lower fee, then to the endpoint that delivered last, or to a random one before
 // any delivery: with a fixed order many dispatchers without calls in flight would all choose the same endpoint.
-func (s *Scheduler) selectEndpoint(now float64, d *destination, h *heldNotification) (*directory.Endpoint, float64) {
+func (s *Scheduler) selectEndpoint(now float64, dest *destination, h *heldNotification) (*directory.Endpoint, float64) {
 	var best *directory.Endpoint
 	next, fewestCalls := never, 0
-	listed := s.dir.Endpoints(d.id)
+	listed := s.dir.Endpoints(dest.id)
 	avoid := s.hasAlternative(now, h, listed)
 	for i := range listed {
-		e := &listed[i]
-		if !s.eligible(h, *e) || avoid && s.endpoint(e.ID).topics[h.Topic].avoidedUntil > now {
+		entry := &listed[i]
+		if !s.eligible(h, *entry) || avoid && s.endpoint(entry.ID).topics[h.Topic].avoidedUntil > now {
 			continue
 		}
-		if s.joinableCall(now, *e) != nil {
-			return e, now
+		if s.joinableCall(now, *entry) != nil {
+			return entry, now
 		}
-		ep := s.endpoint(e.ID)
+		ep := s.endpoint(entry.ID)
 		if s.unusuallySilent(now, ep) || float64(len(ep.calls)) >= ep.maxCalls {
 			continue
 		}
-		when := max(s.admitsAt(now, d, *e, h), ep.setAsideUntil)
+		when := max(s.admitsAt(now, dest, *entry, h), ep.setAsideUntil)
 		if when > now {
 			next = min(next, when)
 			continue
 		}
 		better := best == nil || len(ep.calls) < fewestCalls
 		if !better && len(ep.calls) == fewestCalls {
-			fee, bestFee := s.routes.FeeByZone[e.Zone], s.routes.FeeByZone[best.Zone]
+			fee, bestFee := s.routes.FeeByZone[entry.Zone], s.routes.FeeByZone[best.Zone]
 			better = fee < bestFee || fee == bestFee && ep.preference > s.endpoint(best.ID).preference
 		}
 		if better {
-			best, fewestCalls = e, len(ep.calls)
+			best, fewestCalls = entry, len(ep.calls)
 		}
 	}
 	return best, next
 }
 
 // eligible reports whether h may be sent to an endpoint at all.
-func (s *Scheduler) eligible(h *heldNotification, e directory.Endpoint) bool {
-	return e.Stage == directory.Ready && (!h.zoneBound() || e.Zone == h.mayHaveRunZone)
+func (s *Scheduler) eligible(h *heldNotification, entry directory.Endpoint) bool {
+	return entry.Stage == directory.Ready && (!h.zoneBound() || entry.Zone == h.mayHaveRunZone)
 }
 
 // hasAlternative reports whether some eligible endpoint is neither avoided for the topic of h nor in an outage. Only then
 // are the endpoints that recently failed the topic avoided. This protects against endpoints that fail one topic and accept
 // the others; it costs latency where the failure was accidental and the other endpoints are slower.
 func (s *Scheduler) hasAlternative(now float64, h *heldNotification, listed []directory.Endpoint) bool {
-	for _, e := range listed {
-		if s.eligible(h, e) && s.endpoint(e.ID).topics[h.Topic].avoidedUntil <= now && !s.throttle(e).inOutage() {
+	for _, entry := range listed {
+		if s.eligible(h, entry) && s.endpoint(entry.ID).topics[h.Topic].avoidedUntil <= now && !s.throttle(entry).inOutage() {
 			return true
 		}
 	}
@@ -418,12 +421,12 @@
 
 // admitsAt returns when the throttle of an endpoint admits h: now or earlier, at a later time, or never if that takes an
 // outcome first.
-func (s *Scheduler) admitsAt(now float64, d *destination, e directory.Endpoint, h *heldNotification) float64 {
-	t := s.throttle(e)
+func (s *Scheduler) admitsAt(now float64, dest *destination, entry directory.Endpoint, h *heldNotification) float64 {
+	t := s.throttle(entry)
 	if t.blockedUntil > now {
 		return t.blockedUntil
 	}
-	if s.callsInFlight >= s.capacity.MaxCalls || t.inFlight >= s.maxConcurrent(now, e) {
+	if s.callsInFlight >= s.capacity.MaxCalls || t.inFlight >= s.maxConcurrent(now, entry) {
 		return never
 	}
 	reserved := 0.0
@@ -439,7 +442,7 @@
 		}
 		return never
 	}
-	return max(s.recoveryStart(now, d, e, t), s.pacedStart(now, d, e, t, h))
+	return max(s.recoveryStart(now, dest, entry, t), s.pacedStart(now, dest, entry, t, h))
 }
 
 // allowanceLifetime returns how long, in seconds, an allowance is kept with no call in flight: allowanceTTL, or the
@@ -450,9 +453,9 @@
 
 // maxConcurrent returns how many calls may be in flight to a destination: three quarters of the slots, or half of them
 // while the destination recovers or the endpoint is unusually silent, and at least one.
-func (s *Scheduler) maxConcurrent(now float64, e directory.Endpoint) int {
-	t := s.throttle(e)
-	if t.recovering || s.unusuallySilent(now, s.endpoint(e.ID)) {
+func (s *Scheduler) maxConcurrent(now float64, entry directory.Endpoint) int {
+	t := s.throttle(entry)
+	if t.recovering || s.unusuallySilent(now, s.endpoint(entry.ID)) {
 		return max(1, s.capacity.MaxCalls/2)
 	}
 	return max(1, s.capacity.MaxCalls*3/4)
@@ -465,11 +468,11 @@
 // staggerRestored delays the first push of notifications read back after a restart by a random time, up to the interval
 // at which this dispatcher's even share of the listed rate allows a push, or up to the objective if that is shorter. This
 // protects destinations when many dispatchers restart together.
-func (s *Scheduler) staggerRestored(now float64, d *destination, h *heldNotification) {
-	for _, e := range s.dir.Endpoints(d.id) {
-		if t := s.throttle(e); t.jitter == 0 {
+func (s *Scheduler) staggerRestored(now float64, dest *destination, h *heldNotification) {
+	for _, entry := range s.dir.Endpoints(dest.id) {
+		if t := s.throttle(entry); t.jitter == 0 {
 			t.jitter = s.rng.float()
-			t.blockedUntil = now + t.jitter*min(h.topic.Objective, 1/s.evenShare(s.destinationRate(e, t)))
+			t.blockedUntil = now + t.jitter*min(h.topic.Objective, 1/s.evenShare(s.destinationRate(entry, t)))
 		}
 	}
 }
@@ -479,7 +482,8 @@
 // grows slowly, and pacing ends when it has doubled. Pacing covers limits that others use too, limits that are lowered
 // without a report, and refusals that use up the limit themselves. In that last case a rate just above the limit delivers
 // next to nothing, so the pace is reduced by the share of recent pushes that were refused.
-func (s *Scheduler) pacedStart(now float64, d *destination, e directory.Endpoint, t *throttle, h *heldNotification) float64 {
+func (s *Scheduler) pacedStart(now float64, dest *destination, entry directory.Endpoint, t *throttle,
+	h *heldNotification) float64 {
 	if now-t.lastRefusal > 1/paceGrowth {
 		return now
 	}
@@ -489,8 +493,8 @@
 			accepted++
 		}
 	}
-	demand := s.demandShare(now, d, e, t)
-	resendSpan := resendSpread * s.recovery.OverloadSpan / s.routeShare(e, t)
+	demand := s.demandShare(now, dest, entry, t)
+	resendSpan := resendSpread * s.recovery.OverloadSpan / s.routeShare(entry, t)
 	if when := t.blockedUntil + t.jitter*min(1/demand, resendSpan); when > now && t.lastTrial < t.blockedUntil {
 		return when
 	}
@@ -539,7 +543,7 @@
 }
 
 // cannotDeliver reports whether a held notification can no longer be delivered and is to get its final answer.
-func (s *Scheduler) cannotDeliver(now float64, d *destination, h *heldNotification) bool {
+func (s *Scheduler) cannotDeliver(now float64, dest *destination, h *heldNotification) bool {
 	outOfTime := now >= s.latestStart(h) || h.pushes >= s.policy.MaxPushes || h.displaced
 	unsafe := h.mayHaveRunAt != never && h.topic.Repeat == OnceOnly || now > s.dedupUntil(h)
 	return !h.finished && h.call == nil && (outOfTime || unsafe)
@@ -562,12 +566,12 @@
 
 // giveUp finishes a notification: with Throttle if it is safe to submit again, otherwise with Expire. Its key stays blocked
 // until the client has received that answer.
-func (s *Scheduler) giveUp(now float64, d *destination, h *heldNotification) Decision {
+func (s *Scheduler) giveUp(now float64, dest *destination, h *heldNotification) Decision {
 	h.finished, h.noticePending = true, true
-	s.dequeue(d, h)
+	s.dequeue(dest, h)
 	deduplicated := h.topic.Repeat == Collapsible && h.topic.DedupScope == "all"
 	if h.mayHaveRunAt == never || h.topic.Repeat == Repeatable || deduplicated {
-		return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: s.retryIn(now, d)}
+		return Decision{Action: Throttle, NotificationID: h.ID, RetryIn: s.retryIn(now, dest)}
 	}
 	return Decision{Action: Expire, NotificationID: h.ID}
 }
@@ -587,9 +591,9 @@
 
 // displace marks the notification in a full queue that has the lowest current benefit as displaced, if that is lower than
 // the benefit of h, and reports whether there was one. Place then gives the displaced notification its final answer.
-func (s *Scheduler) displace(now float64, d *destination, h *heldNotification) bool {
+func (s *Scheduler) displace(now float64, dest *destination, h *heldNotification) bool {
 	leastValuable := h
-	for _, x := range d.queue {
+	for _, x := range dest.queue {
 		// A restored notification that was not pushed yet is not displaced, because a push of it was promised.
 		if !x.displaced && !(x.Restored && x.pushes == 0) && s.currentBenefit(now, x) < s.currentBenefit(now, leastValuable) {
 			leastValuable = x
@@ -626,14 +630,14 @@
 // retryIn returns the seconds after which a client is advised to submit a notification again: until the first endpoint may
 // get a push, as far as is known now, and at least allowanceTTL. An endpoint in an outage is first tried with the
 // notifications held here.
-func (s *Scheduler) retryIn(now float64, d *destination) float64 {
+func (s *Scheduler) retryIn(now float64, dest *destination) float64 {
 	earliest := never
-	for _, e := range s.dir.Endpoints(d.id) {
-		if e.Stage != directory.Ready {
+	for _, entry := range s.dir.Endpoints(dest.id) {
+		if entry.Stage != directory.Ready {
 			continue
 		}
-		t := s.throttle(e)
-		earliest = min(earliest, max(t.blockedUntil, s.endpoint(e.ID).setAsideUntil, s.recoveryStart(now, d, e, t)))
+		t := s.throttle(entry)
+		earliest = min(earliest, max(t.blockedUntil, s.endpoint(entry.ID).setAsideUntil, s.recoveryStart(now, dest, entry, t)))
 	}
 	if earliest == never {
 		return allowanceTTL
@@ -662,9 +666,9 @@
 
 // joinableCall returns the call to an endpoint that started at the same time, now, and has room for another notification, or
 // nil.
-func (s *Scheduler) joinableCall(now float64, e directory.Endpoint) *call {
-	calls := s.endpoint(e.ID).calls
-	if n := len(calls); n > 0 && calls[n-1].startedAt == now && calls[n-1].size < s.capacity.BatchSize[e.Kind] {
+func (s *Scheduler) joinableCall(now float64, entry directory.Endpoint) *call {
+	calls := s.endpoint(entry.ID).calls
+	if n := len(calls); n > 0 && calls[n-1].startedAt == now && calls[n-1].size < s.capacity.BatchSize[entry.Kind] {
 		return calls[n-1]
 	}
 	return nil
@@ -672,29 +676,30 @@
 
 // enqueue inserts a notification in the order of objective ends, then of sequence. A notification with little time left,
 // or one that is retried, is thus not queued behind those with all of their time left.
-func (s *Scheduler) enqueue(d *destination, h *heldNotification) {
-	at := len(d.queue)
+func (s *Scheduler) enqueue(dest *destination, h *heldNotification) {
+	at := len(dest.queue)
 	for ; at > 0; at-- {
-		if x := d.queue[at-1]; x.objectiveEnd() < h.objectiveEnd() || x.objectiveEnd() == h.objectiveEnd() && x.sequence < h.sequence {
+		if x := dest.queue[at-1]; x.objectiveEnd() < h.objectiveEnd() ||
+			x.objectiveEnd() == h.objectiveEnd() && x.sequence < h.sequence {
 			break
 		}
 	}
-	d.queue = slices.Insert(d.queue, at, h)
-	if !d.inRound {
-		d.inRound, d.deficit = true, 0
-		s.round = append(s.round, d)
+	dest.queue = slices.Insert(dest.queue, at, h)
+	if !dest.inRound {
+		dest.inRound, dest.deficit = true, 0
+		s.round = append(s.round, dest)
 	}
 }
 
 // dequeue removes a notification from its queue. A destination whose queue is then empty is removed from the round, and its
 // deficit is reset.
-func (s *Scheduler) dequeue(d *destination, h *heldNotification) {
-	d.queue = slices.DeleteFunc(d.queue, func(x *heldNotification) bool { return x == h })
-	if len(d.queue) > 0 || !d.inRound {
+func (s *Scheduler) dequeue(dest *destination, h *heldNotification) {
+	dest.queue = slices.DeleteFunc(dest.queue, func(x *heldNotification) bool { return x == h })
+	if len(dest.queue) > 0 || !dest.inRound {
 		return
 	}
-	d.inRound, d.deficit = false, 0
-	i := slices.Index(s.round, d)
+	dest.inRound, dest.deficit = false, 0
+	i := slices.Index(s.round, dest)
 	s.round = slices.Delete(s.round, i, i+1)
 	if i < s.roundIndex {
 		s.roundIndex--
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -127,8 +127,8 @@
 				}
 				changed = true
 				disp.sawOutage = disp.sawOutage || push.result != decide.Delivered
-				outcome := decide.Outcome{NotificationID: push.id, Endpoint: push.endpoint, Result: push.result, Latency: now - push.startedAt,
-					Final: push.result == decide.Delivered}
+				outcome := decide.Outcome{NotificationID: push.id, Endpoint: push.endpoint, Result: push.result,
+					Latency: now - push.startedAt, Final: push.result == decide.Delivered}
 				if outcome.Final { // it reports its limit, and what the calls of the last second have left of it
 					recentCalls := 0
 					for i := len(answered) - 1; i >= 0 && answered[i] > now-1; i-- {
--- a/decide/health.go
+++ b/decide/health.go
@@ -169,8 +169,8 @@
 		return 0
 	}
 	t, recovery := c.throttle, s.recovery
-	if e, ok := s.dir.Find(h.Dest, outcome.Endpoint); ok &&
-		recovery.OverloadFactor*recovery.InitialCapacity*s.destinationRate(e, t)*recovery.OverloadSpan >=
+	if entry, ok := s.dir.Find(h.Dest, outcome.Endpoint); ok &&
+		recovery.OverloadFactor*recovery.InitialCapacity*s.destinationRate(entry, t)*recovery.OverloadSpan >=
 			float64(recovery.Dispatchers-1) {
 		return 0 // one more call from each other dispatcher is within the recovery budget
 	}
--- a/decide/recovery.go
+++ b/decide/recovery.go
@@ -11,9 +11,9 @@
 // RecoveryBudget returns the recovery budget of the destination, or separate route, of an endpoint: how many calls in any span
 // of the returned length, in seconds, the settings allow all dispatchers together. ok is false if this dispatcher has
 // detected no outage of it, if slow start is over, or if its capacity is unknown.
-func (s *Scheduler) RecoveryBudget(now float64, e directory.Endpoint) (calls, span float64, ok bool) {
-	t := s.throttle(e)
-	rate := s.destinationRate(e, t)
+func (s *Scheduler) RecoveryBudget(now float64, entry directory.Endpoint) (calls, span float64, ok bool) {
+	t := s.throttle(entry)
+	rate := s.destinationRate(entry, t)
 	if !s.stillRecovering(now, t) || rate <= 0 {
 		return 0, 0, false
 	}
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -24,7 +24,7 @@
 // recoveryStart returns when the next push to a destination may start, such that all dispatchers together send no more than
 // the destination can take if it recovers: now if it does not, never if that takes an outcome first. During the outage one
 // push is sent at a time, and jitter spreads the trials of the dispatchers.
-func (s *Scheduler) recoveryStart(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
+func (s *Scheduler) recoveryStart(now float64, dest *destination, entry directory.Endpoint, t *throttle) float64 {
 	if t.recovering = s.stillRecovering(now, t); !t.recovering {
 		return now
 	}
@@ -33,12 +33,12 @@
 			return never
 		}
 		pause := setAsideBase + setAsideJitter*t.jitter
-		if s.routes.SeparateByKind[e.Kind] {
-			return max(t.lastTrial, t.blockedUntil) + max(pause, t.jitter/max(s.routeTrialRate(now, d, e, t), 0.01))
+		if s.routes.SeparateByKind[entry.Kind] {
+			return max(t.lastTrial, t.blockedUntil) + max(pause, t.jitter/max(s.routeTrialRate(now, dest, entry, t), 0.01))
 		}
-		return max(s.nextTrialAt(d, e, t), max(t.lastTrial, t.blockedUntil)+pause)
+		return max(s.nextTrialAt(dest, entry, t), max(t.lastTrial, t.blockedUntil)+pause)
 	}
-	rate := usedBudgetShare * s.recovery.OverloadFactor * s.capacityShare(now, t) * s.cappedDemand(now, d, e, t)
+	rate := usedBudgetShare * s.recovery.OverloadFactor * s.capacityShare(now, t) * s.cappedDemand(now, dest, entry, t)
 	return s.windowStart(now, t, rate, s.recovery.OverloadSpan)
 }
 
@@ -54,10 +54,10 @@
 // dispatcher's even share of the recovery budget is at least one call per overload span; with less, notifications that the
 // restart found untried would not be pushed in time.
 func (s *Scheduler) slowStartAfterRestart(now float64, ntf Notification) {
-	for _, e := range s.dir.Endpoints(ntf.Dest) {
-		t := s.throttle(e)
-		budget := s.recovery.OverloadFactor * s.recovery.InitialCapacity * s.destinationRate(e, t) * s.recovery.OverloadSpan
-		if !t.recovering && !s.routes.SeparateByKind[e.Kind] && s.evenShare(budget) >= 1 {
+	for _, entry := range s.dir.Endpoints(ntf.Dest) {
+		t := s.throttle(entry)
+		budget := s.recovery.OverloadFactor * s.recovery.InitialCapacity * s.destinationRate(entry, t) * s.recovery.OverloadSpan
+		if !t.recovering && !s.routes.SeparateByKind[entry.Kind] && s.evenShare(budget) >= 1 {
 			t.recovering, t.respondingSince, t.firstAnswer = true, now, now
 		}
 	}
@@ -65,8 +65,9 @@
 
 // cappedDemand returns demandShare, or the even share where more arrived than random variation explains: then all
 // dispatchers together ask for more than the destination can take.
-func (s *Scheduler) cappedDemand(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
-	evenShare, span, demand := s.evenShare(s.destinationRate(e, t)), max(s.recovery.WarmUp, 1), s.demandShare(now, d, e, t)
+func (s *Scheduler) cappedDemand(now float64, dest *destination, entry directory.Endpoint, t *throttle) float64 {
+	evenShare, span, demand := s.evenShare(s.destinationRate(entry, t)), max(s.recovery.WarmUp, 1),
+		s.demandShare(now, dest, entry, t)
 	if expected := span * evenShare; expected > 0 && span*demand > chanceBound(expected) {
 		return evenShare
 	}
@@ -78,40 +79,40 @@
 
 // routeTrialRate returns how often per second a separate route in an outage may be tried. The route may have a small part of
 // the capacity of its destination, while everything that arrived for the destination may be sent to it.
-func (s *Scheduler) routeTrialRate(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
-	demand := s.cappedDemand(now, d, e, t)
+func (s *Scheduler) routeTrialRate(now float64, dest *destination, entry directory.Endpoint, t *throttle) float64 {
+	demand := s.cappedDemand(now, dest, entry, t)
 	rate := usedBudgetShare * s.recovery.OverloadFactor * s.recovery.InitialCapacity * demand
 	// The expected share of dispatchers that hold a notification for the route.
 	holdingShare := 1 - math.Exp(-demand*(setAsideBase+now-t.outageSince))
-	rate *= s.routeShare(e, t) * min(maxTrialRateFactor, minTrialRateFactor/holdingShare) *
+	rate *= s.routeShare(entry, t) * min(maxTrialRateFactor, minTrialRateFactor/holdingShare) *
 		s.recovery.OverloadSpan / (s.recovery.OverloadSpan + t.lastFailureDuration)
 	// A trial carries as many queued notifications as fit into a call.
-	return rate / (1 + sharedPushWeight*float64(max(1, min(s.capacity.BatchSize[e.Kind], len(d.queue)))-1))
+	return rate / (1 + sharedPushWeight*float64(max(1, min(s.capacity.BatchSize[entry.Kind], len(dest.queue)))-1))
 }
 
 // nextTrialAt returns when the next queued notification may be tried at a destination in an outage. Each queued notification
 // draws an exponentially distributed wait, which is memoryless. Its rate is such that the trials of all recent arrivals for
 // the destination, here and at other dispatchers, add up to the recovery budget.
-func (s *Scheduler) nextTrialAt(d *destination, e directory.Endpoint, t *throttle) float64 {
+func (s *Scheduler) nextTrialAt(dest *destination, entry directory.Endpoint, t *throttle) float64 {
 	from := max(t.lastTrial, t.blockedUntil)
 	recentCount, rateSum := 0.0, 0.0
-	for _, h := range d.queue {
+	for _, h := range dest.queue {
 		if from < h.arrivedAt()+s.trialSpan(h) {
 			recentCount++
 			rateSum += 1 / s.trialSpan(h)
 		}
 	}
 	trialsEach := s.recovery.OverloadFactor * s.recovery.InitialCapacity / s.expectedUsage(t) // trials per recent notification
-	evenShare, span := s.evenShare(s.destinationRate(e, t)), max(s.recovery.WarmUp, 1)
+	evenShare, span := s.evenShare(s.destinationRate(entry, t)), max(s.recovery.WarmUp, 1)
 	if expected := span * evenShare; expected > 0 && recentCount > chanceBound(expected) {
 		trialsEach *= chanceBound(expected) / recentCount
 	}
 	// All queued notifications together are tried at least at an even share of the recovery budget, times the probability that
 	// a dispatcher has a recent notification for the destination.
 	minRate := usedBudgetShare * s.recovery.OverloadFactor * s.recovery.InitialCapacity * evenShare * (1 - math.Exp(-evenShare*span))
-	extraRate := max(0, minRate-trialsEach*rateSum) / float64(max(1, len(d.queue)))
+	extraRate := max(0, minRate-trialsEach*rateSum) / float64(max(1, len(dest.queue)))
 	earliest := never
-	for _, h := range d.queue {
+	for _, h := range dest.queue {
 		earliest = min(earliest, s.trialAt(h, t, from, trialsEach, extraRate))
 	}
 	return earliest
@@ -172,30 +173,30 @@
 // demandShare returns this dispatcher's share of what a destination can take, in notifications per second: the rate of
 // recent arrivals here, or an even share if that is more. Load differs between dispatchers, and with many of them an even
 // share is far below one call.
-func (s *Scheduler) demandShare(now float64, d *destination, e directory.Endpoint, t *throttle) float64 {
+func (s *Scheduler) demandShare(now float64, dest *destination, entry directory.Endpoint, t *throttle) float64 {
 	count := 0.0
-	for i := len(d.arrivals) - 1; i >= 0 && d.arrivals[i] > now-s.recovery.WarmUp; i-- {
+	for i := len(dest.arrivals) - 1; i >= 0 && dest.arrivals[i] > now-s.recovery.WarmUp; i-- {
 		count++
 	}
 	demand := count / max(s.recovery.WarmUp, 1)
-	if t.limit > 0 && e.Rate > 0 && !s.recovery.RatesUnlisted {
-		demand *= min(1, t.limit/e.Rate) // the limit was lowered for all
+	if t.limit > 0 && entry.Rate > 0 && !s.recovery.RatesUnlisted {
+		demand *= min(1, t.limit/entry.Rate) // the limit was lowered for all
 	}
-	return max(demand, s.evenShare(s.destinationRate(e, t)))
+	return max(demand, s.evenShare(s.destinationRate(entry, t)))
 }
 
 // routeShare returns the share of a route in the capacity of its destination, from the reported limits of the ready routes,
 // since everything that arrived for the destination may be sent to one route. A route without a reported limit counts as if
 // it had the limit of this one; if this one has none, all routes count the same. An endpoint that is not a separate route has
 // a share of 1.
-func (s *Scheduler) routeShare(e directory.Endpoint, t *throttle) float64 {
-	if !s.routes.SeparateByKind[e.Kind] {
+func (s *Scheduler) routeShare(entry directory.Endpoint, t *throttle) float64 {
+	if !s.routes.SeparateByKind[entry.Kind] {
 		return 1
 	}
 	ownLimit := cmp.Or(t.limit, 1)
 	sum := ownLimit
-	for _, other := range s.dir.Endpoints(e.Dest) {
-		if other.ID == e.ID || other.Stage != directory.Ready {
+	for _, other := range s.dir.Endpoints(entry.Dest) {
+		if other.ID == entry.ID || other.Stage != directory.Ready {
 			continue
 		}
 		if limit := s.throttle(other).limit; t.limit > 0 && limit > 0 {
@@ -224,9 +225,9 @@
 
 // destinationRate returns how many calls per second a destination can take from all dispatchers: the limit reported last, or
 // the listed rate.
-func (s *Scheduler) destinationRate(e directory.Endpoint, t *throttle) float64 {
+func (s *Scheduler) destinationRate(entry directory.Endpoint, t *throttle) float64 {
 	if t.limit == 0 && !s.recovery.RatesUnlisted {
-		return e.Rate
+		return entry.Rate
 	}
 	return t.limit
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -277,8 +277,8 @@
 }
 
 // Guards against counting a reset connection and an immediate refusal of the next one as a single failure. Resets alone do not
-// count, because single connections break without an outage. A dispatcher with a push in flight as the destination failed therefore detected
-// no outage, and one second later sent four notifications together (soak, seed 471027).
+// count, because single connections break without an outage. A dispatcher with a push in flight as the destination failed
+// therefore detected no outage, and one second later sent four notifications together (soak, seed 471027).
 func Example_refusedAfterBreak() {
 	pushed := 0
 	for seed := range uint64(200) {
--- a/decide/state.go
+++ b/decide/state.go
@@ -28,7 +28,7 @@
 	revisionAtEviction     int                            // revision of the list when unused state was last evicted
 	nextListRequest        float64                        // when to request the list; never if that is not due
 	held                   map[string]*heldNotification   // by ID
-	heldByKey              map[string][]*heldNotification // by ordering key, in the order taken
+	heldByKey              map[string][]*heldNotification // by ordering key, in the order taken, until they release the key
 	keysBlockedUntil       float64                        // no notification with an ordering key starts before
 	destinations           map[string]*destination        // by ID
 	throttles              map[throttleID]*throttle
@@ -211,8 +211,8 @@
 	}
 	s.revisionAtEviction = s.dir.Revision
 	awaitingClose := map[string]bool{}
-	for id, d := range s.destinations {
-		if !s.dir.KnownDest(id) && len(d.queue) == 0 {
+	for id, dest := range s.destinations {
+		if !s.dir.KnownDest(id) && len(dest.queue) == 0 {
 			delete(s.destinations, id)
 		}
 	}
@@ -259,8 +259,8 @@
 // throttleID identifies a throttle: that of a destination, shared by its endpoints, or that of an endpoint which is a
 // separate route.
 type throttleID struct {
-	owner  string
-	shared bool
+	owner  string // ID of the destination or of the endpoint
+	shared bool   // it is that of a destination
 }
 
 // destination returns the state of a destination, which it creates if there is none.
@@ -272,10 +272,10 @@
 }
 
 // throttle returns the throttle that applies to an endpoint, which it creates if there is none.
-func (s *Scheduler) throttle(e directory.Endpoint) *throttle {
-	id := throttleID{owner: e.Dest, shared: true}
-	if s.routes.SeparateByKind[e.Kind] {
-		id = throttleID{owner: e.ID}
+func (s *Scheduler) throttle(entry directory.Endpoint) *throttle {
+	id := throttleID{owner: entry.Dest, shared: true}
+	if s.routes.SeparateByKind[entry.Kind] {
+		id = throttleID{owner: entry.ID}
 	}
 	t := s.throttles[id]
 	if t == nil {
@@ -298,9 +298,9 @@
 // listedZone returns the zone in which an endpoint is listed now, or "" if it is not listed. It is used if the zone of a push
 // was not recorded.
 func (s *Scheduler) listedZone(destID, id string) string {
-	for _, e := range s.dir.Endpoints(destID) {
-		if e.ID == id {
-			return e.Zone
+	for _, entry := range s.dir.Endpoints(destID) {
+		if entry.ID == id {
+			return entry.Zone
 		}
 	}
 	return ""
