--- a/decide/decide.go
+++ b/decide/decide.go
@@ -109,8 +109,8 @@
 	dest := s.destination(ntf.Dest)
 	if !known {
 		h = &heldNotification{Notification: ntf, topic: s.topics[ntf.Topic], expiresAt: now + ntf.TimeLeft, mayHaveRunAt: never}
-		firstTry := ntf.TimeLeft > h.topic.TTL-firstTryMargin && !ntf.Restored
-		h.pushes, h.overQuota = ntf.Pushes, firstTry && s.overQuota(now, ntf.Tenant)
+		isFirstTry := ntf.TimeLeft > h.topic.TTL-firstTryMargin && !ntf.Restored
+		h.pushes, h.overQuota = ntf.Pushes, isFirstTry && s.overQuota(now, ntf.Tenant)
 		freeRoom := (1-reservedShare)*float64(s.capacity.MaxHeld) - float64(len(s.held))
 		// A notification that waits for its key needs room, but is not limited by the queue bound.
 		queuesBehindKey := freeRoom > 0 && h.ordered() && len(s.heldByKey[h.Key]) > 0
@@ -129,7 +129,7 @@
 				cmp.Or(ntf.RanZone, s.listedZone(ntf.Dest, ntf.RanTo)), now+s.policy.KeyCooldown
 		}
 		s.held[h.ID] = h
-		if firstTry {
+		if isFirstTry {
 			dest.arrivals = appendLast(dest.arrivals, now, maxPushSamples)
 		}
 		if h.ordered() {
@@ -294,7 +294,7 @@
 		}
 		return nil, never
 	}
-	for blocked := 0; blocked < len(s.round); {
+	for blockedCount := 0; blockedCount < len(s.round); {
 		if s.roundIndex >= len(s.round) {
 			s.roundIndex = 0
 		}
@@ -310,7 +310,7 @@
 			}
 		} else {
 			next = min(next, when)
-			blocked++
+			blockedCount++
 		}
 		s.roundIndex++
 		s.quantumGranted = false
@@ -332,8 +332,8 @@
 func (s *Scheduler) firstReady(now float64, dest *destination) (*heldNotification, float64) {
 	next := never
 	// A notification that cannot have run may go to any endpoint. If one with the highest benefit is not admitted, no other
-	// notification is (blocked). If one with a lower benefit is not, no other with a lower benefit is (blockedLow).
-	blocked, blockedLow := false, false
+	// notification is (allBlocked). If one with a lower benefit is not, no other with a lower benefit is (lowBenefitBlocked).
+	allBlocked, lowBenefitBlocked := false, false
 	var blockedClasses []admissionClass
 	// Where the benefit decays exponentially, notifications past their objective lose little more by waiting and come last.
 	firstTimely := slices.IndexFunc(dest.queue, func(h *heldNotification) bool {
@@ -342,7 +342,7 @@
 	for i := range dest.queue {
 		h := dest.queue[(max(0, firstTimely)+i)%len(dest.queue)]
 		lowBenefit := h.topic.Benefit < s.maxBenefit
-		if blocked || blockedLow && lowBenefit {
+		if allBlocked || lowBenefitBlocked && lowBenefit {
 			continue
 		}
 		if keyFree := s.keyFreeAt(now, h); keyFree > now {
@@ -359,7 +359,7 @@
 			return h, now
 		}
 		if next = min(next, when); h.mayHaveRunAt == never {
-			blocked, blockedLow = blocked || !lowBenefit, true
+			allBlocked, lowBenefitBlocked = allBlocked || !lowBenefit, true
 		}
 	}
 	return nil, next
@@ -372,10 +372,10 @@
 	var best *directory.Endpoint
 	next, fewestCalls := never, 0
 	listed := s.dir.Endpoints(dest.id)
-	avoid := s.hasAlternative(now, h, listed)
+	skipAvoided := s.hasAlternative(now, h, listed)
 	for i := range listed {
 		entry := &listed[i]
-		if !s.eligible(h, *entry) || avoid && s.endpoint(entry.ID).topics[h.Topic].avoidedUntil > now {
+		if !s.eligible(h, *entry) || skipAvoided && s.endpoint(entry.ID).topics[h.Topic].avoidedUntil > now {
 			continue
 		}
 		if s.joinableCall(now, *entry) != nil {
--- a/decide/health.go
+++ b/decide/health.go
@@ -145,12 +145,12 @@
 	}
 	s.classifyFirstFailure(t, true)
 	recentOutcomes := t.outcomes[max(0, len(t.outcomes)-healthSamples):]
-	failures, consecutive := countFailures(recentOutcomes), countFailures(recentOutcomes[max(0, len(recentOutcomes)-2):])
+	failures, failuresOfLastTwo := countFailures(recentOutcomes), countFailures(recentOutcomes[max(0, len(recentOutcomes)-2):])
 	// An earlier push of the endpoint failed too, for example by a reset, and it has not answered since.
 	failedAgain := outcome.Result == NotConnected && ep.firstFailure > ep.lastAnswer && ep.firstFailure < now
 	// noDelivery: nothing was delivered while the push was in flight.
 	switch noDelivery := t.lastDelivery < c.startedAt; {
-	case noDelivery && (consecutive == 2 || failedAgain || s.routes.SeparateByKind[ep.kind] ||
+	case noDelivery && (failuresOfLastTwo == 2 || failedAgain || s.routes.SeparateByKind[ep.kind] ||
 		s.rng.float() < s.outageProbability(now, c, h, outcome)):
 		s.eject(now, t)
 	case failures >= 2 && 2*failures >= len(recentOutcomes) && !t.inOutage(): // at least half of the latest pushes failed
@@ -208,22 +208,22 @@
 // row, by the time they were sent, failed before one that was delivered. It also returns when that one was sent. An outage
 // shorter than the timeouts is only found this way. A single failure among deliveries does not count.
 func (t *throttle) outageEnd(sentAt float64) (resumedAt float64, found bool) {
-	before, after, failures := -never, never, 0
+	lastDeliveryBefore, firstDeliveryAfter, failures := -never, never, 0
 	for _, outcome := range t.sendOutcomes {
 		if outcome.value == 0 && outcome.at <= sentAt {
-			before = max(before, outcome.at)
+			lastDeliveryBefore = max(lastDeliveryBefore, outcome.at)
 		} else if outcome.value == 0 {
-			after = min(after, outcome.at)
+			firstDeliveryAfter = min(firstDeliveryAfter, outcome.at)
 		}
 	}
 	for _, outcome := range t.sendOutcomes {
-		if outcome.value > 0 && outcome.at > before && outcome.at < after {
+		if outcome.value > 0 && outcome.at > lastDeliveryBefore && outcome.at < firstDeliveryAfter {
 			failures++
 		}
 	}
 	// Without a delivery before them, deliveries between the failures may have been discarded from the samples.
-	complete := before > -never || len(t.sendOutcomes) < maxSendOutcomes
-	return after, failures > 1 && after < never && complete
+	complete := lastDeliveryBefore > -never || len(t.sendOutcomes) < maxSendOutcomes
+	return firstDeliveryAfter, failures > 1 && firstDeliveryAfter < never && complete
 }
 
 // eject records that an outage of the destination or separate route was detected.
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -124,16 +124,16 @@
 	if h.trialWaitDrawnAt != t.lastTrial {
 		h.trialWaitDrawnAt, h.trialWait = t.lastTrial, -math.Log(1-s.rng.float())
 	}
-	begin, recentUntil := max(from, h.arrivedAt()), h.arrivedAt()+s.trialSpan(h)
+	waitStart, recentUntil := max(from, h.arrivedAt()), h.arrivedAt()+s.trialSpan(h)
 	rate := trialsEach/s.trialSpan(h) + extraRate
-	at := begin + h.trialWait/rate
+	at := waitStart + h.trialWait/rate
 	if at <= recentUntil {
 		return at
 	}
 	if extraRate == 0 {
 		return never
 	}
-	return max(recentUntil, begin) + (h.trialWait-max(0, recentUntil-begin)*rate)/extraRate
+	return max(recentUntil, waitStart) + (h.trialWait-max(0, recentUntil-waitStart)*rate)/extraRate
 }
 
 // trialSpan returns how long, in seconds, a notification counts as recent: for the warm-up time or its TTL, whichever is
@@ -174,11 +174,11 @@
 // recent arrivals here, or an even share if that is more. Load differs between dispatchers, and with many of them an even
 // share is far below one call.
 func (s *Scheduler) demandShare(now float64, dest *destination, entry directory.Endpoint, t *throttle) float64 {
-	count := 0.0
+	recentArrivals := 0.0
 	for i := len(dest.arrivals) - 1; i >= 0 && dest.arrivals[i] > now-s.recovery.WarmUp; i-- {
-		count++
+		recentArrivals++
 	}
-	demand := count / max(s.recovery.WarmUp, 1)
+	demand := recentArrivals / max(s.recovery.WarmUp, 1)
 	if t.limit > 0 && entry.Rate > 0 && !s.recovery.RatesUnlisted {
 		demand *= min(1, t.limit/entry.Rate) // the limit was lowered for all
 	}
