--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -21,7 +21,7 @@
 	recovery           decide.Recovery
 	unevenLoad         bool    // some dispatchers get several times the mean load
 	restartShare       float64 // share of dispatchers that restart during the outage and lose their measurements
-	outageDuration     float64 // duration in seconds; 0 for 20
+	outageDuration     float64 // seconds; 0 for 20
 	endpoints          int     // endpoints of the destination, which share its rate; 0 for one
 	refusesConnections bool    // in the outage it refuses connections at once; otherwise it hangs
 	countEachCall      bool    // calls of one dispatcher in one tick count each; otherwise as one
@@ -207,15 +207,15 @@
 		if first.at > returnsAt+f.recovery.WarmUp-f.recovery.OverloadSpan {
 			break // the destination is warm
 		}
-		j, sawOutage := i, 0
+		j, sawOutageCalls := i, 0
 		for ; j < len(arrivals) && arrivals[j].at < first.at+f.recovery.OverloadSpan; j++ {
 			if arrivals[j].sawOutage {
-				sawOutage++
+				sawOutageCalls++
 			}
 		}
 		capacity := f.recovery.InitialCapacity + (1-f.recovery.InitialCapacity)*math.Min(1, (first.at-returnsAt)/f.recovery.WarmUp)
 		budget := f.recovery.OverloadFactor * capacity * f.rate * f.recovery.OverloadSpan
-		if excess := float64(j-i) - budget - chanceMargin(budget); excess > worstExcess && 3*sawOutage > 2*(j-i) {
+		if excess := float64(j-i) - budget - chanceMargin(budget); excess > worstExcess && 3*sawOutageCalls > 2*(j-i) {
 			worstExcess, calls, allowed, at = excess, j-i, budget, first.at-returnsAt
 		}
 	}
