--- a/lab/behaviour/behaviour.go
+++ b/lab/behaviour/behaviour.go
@@ -39,7 +39,7 @@
 	HasLoadReport bool
 	LoadShare     float64 // share of the limit that is left, 0 to 1
 	LoadLimit     float64 // calls per second
-	Cause         string  // the fault or limit that made the outcome; empty for none
+	Cause         string  // the fault, full queue or collapse behind the outcome; empty for none and for the rate limit
 }
 
 // Partner is the system of one destination. It is not safe for concurrent use.
@@ -48,7 +48,7 @@
 	spec         scenario.Partner
 	tokens       float64     // token bucket of a plain rate limit
 	tokensAt     float64     // when tokens was last computed
-	window       float64     // number of the current window of a windowed limit
+	windowIndex  float64     // number of the current window of a windowed limit
 	windowCalls  int         // calls counted in the current window
 	slotFreeAt   [][]float64 // by endpoint: when each of its slots becomes free
 	queuedStarts [][]float64 // by endpoint: when the calls in its queue will start
@@ -70,7 +70,7 @@
 // burstSize returns how many calls a plain rate limit admits at once.
 func burstSize(rate float64) float64 { return max(2, rate/2) }
 
-// capacity returns the calls per second that the partner can take at a time, less than its rate during slow start.
+// capacity returns the calls per second that the partner can take at the time now: less than its rate during slow start.
 func (p *Partner) capacity(now float64) float64 {
 	return p.spec.Rate * p.world.CapacityShare(p.spec.Dest, now)
 }
@@ -78,7 +78,7 @@
 // Collapsed reports whether overload during slow start has brought the partner down. It stays down.
 func (p *Partner) Collapsed() bool { return p.collapsed }
 
-// activeFault returns the first fault of a kind that acts on an endpoint at a time, or nil.
+// activeFault returns the first fault of a kind that acts on endpoint e at the time now, or nil.
 func (p *Partner) activeFault(kind string, now float64, e scenario.Endpoint) *scenario.Fault {
 	i := slices.IndexFunc(p.world.Faults, func(f scenario.Fault) bool { return f.ActiveOn(kind, now, e) })
 	if i < 0 {
@@ -93,8 +93,8 @@
 	return rand.New(rand.NewPCG(p.world.Seed, xxhash.Sum64String(id)+uint64(push)))
 }
 
-// AcceptsConnections reports whether an endpoint is listening: it is part of the destination and no fault refuses
-// connections.
+// AcceptsConnections reports whether the endpoint with the given index accepts connections at the time now: it has been added,
+// was not removed more than removalGrace ago, and no fault refuses connections.
 func (p *Partner) AcceptsConnections(now float64, index int) bool {
 	e := p.spec.Endpoints[index]
 	return now >= e.AddedAt && (e.RemovedAt == 0 || now < e.RemovedAt+removalGrace) && p.activeFault(scenario.RefuseConnections, now, e) == nil
@@ -103,14 +103,14 @@
 // removalGrace is how long a removed endpoint still accepts connections, in seconds.
 const removalGrace = 1.0
 
-// Call is what a partner sees of a call.
+// Call describes a call that arrives at a partner.
 type Call struct {
 	IDs           []string
 	Reused        bool // the connection carried a call before
 	PreviousCalls int  // earlier calls with the first of the notifications
 }
 
-// HandleCall returns the outcome of a call whose last byte has just arrived at an endpoint.
+// HandleCall returns the outcome of a call whose last byte arrives at the endpoint with the given index at the time now.
 func (p *Partner) HandleCall(now float64, index int, c Call) Outcome {
 	e := p.spec.Endpoints[index]
 	random := p.random(c.IDs[0], c.PreviousCalls)
@@ -216,8 +216,8 @@
 		return (1 - p.tokens) / limit, false
 	case scenario.WindowLimit:
 		length := p.spec.Kind.LimitWindow
-		if n := math.Floor(now / length); n != p.window {
-			p.window, p.windowCalls = n, 0
+		if n := math.Floor(now / length); n != p.windowIndex {
+			p.windowIndex, p.windowCalls = n, 0
 		}
 		if float64(p.windowCalls) < math.Floor(max(1, limit*length)) {
 			p.windowCalls++
@@ -226,12 +226,12 @@
 		if p.spec.Kind.CountRejected {
 			p.windowCalls++
 		}
-		return (p.window+1)*length - now, false
+		return (p.windowIndex+1)*length - now, false
 	}
 	return 0, true
 }
 
-// RateLimit returns the calls per second that the partner admits at a time.
+// RateLimit returns the rate limit of endpoint e at the time now, in calls per second.
 func (p *Partner) RateLimit(now float64, e scenario.Endpoint) float64 {
 	if f := p.activeFault(scenario.ChangeLimit, now, e); f != nil {
 		return p.spec.Rate * f.Factor
@@ -258,7 +258,7 @@
 }
 
 // reserveSlot reserves a slot for a call, or a place in the queue for one, and returns the seconds until the call is served.
-// It reports false when the queue is full. The slot stays reserved even if the caller closes the connection.
+// The result is false if the queue is full. The slot stays reserved even if the caller closes the connection.
 func (p *Partner) reserveSlot(now float64, e scenario.Endpoint, random *rand.Rand) (float64, bool) {
 	p.queuedStarts[e.Index] = slices.DeleteFunc(p.queuedStarts[e.Index], func(at float64) bool { return at <= now })
 	slots := p.slotFreeAt[e.Index]
--- a/lab/behaviour/behaviour_test.go
+++ b/lab/behaviour/behaviour_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A plain rate limit admits a burst of half a second's calls, then calls at its rate, and refusals carry a told wait.
+// A plain rate limit admits a burst of half a second's calls, then calls at its rate. Rejections carry a told wait.
 func Example_rateLimit() {
 	printOutcomes(newPartner(scenario.Kind{LimitKind: scenario.RateLimit, ToldWaitShare: 1, MinToldWait: 0.1, ReportsLoad: true, QueueLength: 9}), 1, 1, 1, 1.25, 1.3)
 	// Output:
@@ -43,7 +43,7 @@
 	// 1.30: end 0 status 429 after 0.00 wait 0.20 "busy" ran false because "" left 0.05 of 4.00
 }
 
-// A windowed limit that counts refused calls too, lowered without announcement: reports still show the old limit.
+// A windowed limit that counts rejected calls too and is lowered without announcement: load reports still show the old limit.
 func Example_windowLimit() {
 	printOutcomes(newPartner(scenario.Kind{LimitKind: scenario.WindowLimit, LimitWindow: 1, CountRejected: true, ToldWaitShare: 1, MinToldWait: 0.1, ReportsLoad: true, QueueLength: 9},
 		scenario.Trouble{Kind: scenario.ChangeLimit, At: 2, Duration: 2, Factor: 0.25}), 1.9, 2.1, 2.2, 3.1)
@@ -94,7 +94,7 @@
 	// 6.00: end 0 status 503 after 0.00 wait 0.00 "busy" ran false because "fallen over"
 }
 
-// Each fault alone. Whether a push was executed shows only in Ran: the answer does not always report it.
+// Each fault on its own. Ran, not the answer, states whether a push was executed.
 func Example_faults() {
 	for _, kind := range []string{scenario.Hang, scenario.FailCalls, scenario.LoseAnswers, scenario.ResetConnections, scenario.LateAnswers, scenario.TruncateAnswers, scenario.CorruptAnswers, scenario.CloseAfterAnswer} {
 		printOutcomes(newPartner(scenario.Kind{QueueLength: 9}, scenario.Trouble{Kind: kind, At: 1, Duration: 1, Share: 1}), 1.5)
--- a/lab/behaviour/strain.go
+++ b/lab/behaviour/strain.go
@@ -3,7 +3,7 @@
 import "orchiddrift/invariant"
 
 // OverloadDetector detects when a destination in slow start is overloaded: when the calls within a sliding window exceed
-// OverloadFactor times its capacity, plus the margin that the operators' terms allow for chance.
+// OverloadFactor times its capacity by more than the tolerance for random variation that the service terms allow.
 type OverloadDetector struct {
 	OverloadFactor float64
 	Span           float64                   // length of the window, in seconds
@@ -17,7 +17,7 @@
 	for len(d.calls) > 0 && d.calls[0] <= now-d.Span {
 		d.calls = d.calls[1:]
 	}
-	const middle = 0.5 // share of the window; capacity grows during it, so its value at the middle stands for the whole
+	const middle = 0.5 // share of the window; the capacity grows during it, and its value at the middle is taken as the average
 	return float64(len(d.calls)) > invariant.RecoveryBudget(d.OverloadFactor*d.Capacity(now-middle*d.Span)*d.Span)
 }
 
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -6,20 +6,20 @@
 )
 
 // troubleKinds lists all kinds of trouble. Those that affect partners come first, up to Drain.
-var troubleKinds = []string{RefuseConnections, Hang, FailCalls, SlowAnswers, LoseAnswers, ResetConnections, BreakReused, LateAnswers, TruncateAnswers, CorruptAnswers, CloseAfterAnswer, RejectAll, ChangeLimit, Drain, Kill, Restart, Stall,
-	ListDown, ListSlow, SignalSeries, MoveAgent, Surge, HotClient, BusyDisk}
+var troubleKinds = []string{RefuseConnections, Hang, FailCalls, SlowAnswers, LoseAnswers, ResetConnections, BreakReused, LateAnswers,
+	TruncateAnswers, CorruptAnswers, CloseAfterAnswer, RejectAll, ChangeLimit, Drain, Kill, Restart, Stall, ListDown, ListSlow, SignalSeries, MoveAgent, Surge, HotClient, BusyDisk}
 
 // AffectsPartners reports whether the trouble affects the endpoints of destinations.
 func (t Trouble) AffectsPartners() bool {
 	return slices.Index(troubleKinds, t.Kind) <= slices.Index(troubleKinds, Drain)
 }
 
-// AffectsDispatchers reports whether the trouble affects dispatchers or the agents they talk to.
+// AffectsDispatchers reports whether the trouble affects dispatchers or their agents.
 func (t Trouble) AffectsDispatchers() bool {
 	return slices.Contains([]string{Kill, Restart, Stall, SignalSeries, ListDown, ListSlow, MoveAgent}, t.Kind)
 }
 
-// Upper bounds of a scenario, which keep a run within one machine and let it end by itself.
+// Upper bounds of a scenario. They keep a run within the resources of one machine and limit its duration.
 const (
 	maxLength       = 600     // seconds
 	maxRate         = 100_000 // notifications per second
@@ -28,7 +28,7 @@
 	maxListeners    = 15_000 // listening sockets of all endpoints
 )
 
-// validate returns all errors of a scenario, each under the key of the value in question.
+// validate returns all errors of a scenario. Each begins with the key of the invalid value.
 func validate(s *Scenario) []error {
 	var errs []error
 	addError := func(key, format string, args ...any) {
@@ -132,25 +132,25 @@
 	if listeners > maxListeners {
 		addError("destinations", "need %d listeners, more than %d: set listeners to let destinations share them", listeners, maxListeners)
 	}
-	l := s.Load
-	checkRange("load.rate", l.Rate, 0.1, maxRate)
-	checkRange("load.closed", float64(l.ClosedLoop), 0, 10_000)
-	checkRange("load.clients", float64(l.Clients), 1, 1000)
-	checkRange("load.clumps", l.BurstShare, 0, 1)
-	checkRange("load.clump_size", float64(l.BurstSize), 1, 10_000)
-	checkRange("load.keys", float64(l.Keys), 1, 1e6)
-	checkRange("load.body", float64(l.BodyBytes), 0, 48<<10)
-	checkRange("load.retries", float64(l.MaxRetries), 0, 20)
-	checkRange("load.retry_wait", l.RetryDelay, 0.01, 60)
-	checkRange("load.late_bound", l.MaxLateness, 0.001, 10)
-	for i, p := range l.Ramp {
+	load := s.Load
+	checkRange("load.rate", load.Rate, 0.1, maxRate)
+	checkRange("load.closed", float64(load.ClosedLoop), 0, 10_000)
+	checkRange("load.clients", float64(load.Clients), 1, 1000)
+	checkRange("load.clumps", load.BurstShare, 0, 1)
+	checkRange("load.clump_size", float64(load.BurstSize), 1, 10_000)
+	checkRange("load.keys", float64(load.Keys), 1, 1e6)
+	checkRange("load.body", float64(load.BodyBytes), 0, 48<<10)
+	checkRange("load.retries", float64(load.MaxRetries), 0, 20)
+	checkRange("load.retry_wait", load.RetryDelay, 0.01, 60)
+	checkRange("load.late_bound", load.MaxLateness, 0.001, 10)
+	for i, p := range load.Ramp {
 		checkRange(fmt.Sprintf("load.ramp[%d].factor", i), p.Factor, 0, 1000)
-		if i > 0 && p.At <= l.Ramp[i-1].At {
+		if i > 0 && p.At <= load.Ramp[i-1].At {
 			addError(fmt.Sprintf("load.ramp[%d].at", i), "cannot be %v: points must be in ascending order of time", p.At)
 		}
 	}
-	if l.Rate*s.Length > 5e6 {
-		addError("load.rate", "gives %.0f notifications over the length of the run: 5,000,000 at most", l.Rate*s.Length)
+	if load.Rate*s.Length > 5e6 {
+		addError("load.rate", "gives %.0f notifications over the length of the run: 5,000,000 at most", load.Rate*s.Length)
 	}
 	for i, t := range s.Troubles {
 		prefix := fmt.Sprintf("troubles[%d].", i)
@@ -184,7 +184,7 @@
 	return errs
 }
 
-// groupOf returns the group that a destination belongs to.
+// groupOf returns the group of a destination, or the last group if there is no such destination.
 func (s *Scenario) groupOf(dest int) DestinationGroup {
 	for _, g := range s.Groups {
 		if dest < g.Count {
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -18,7 +18,7 @@
 //go:embed shipped/*.toml
 var shipped embed.FS
 
-// Default is the scenario that is played when none is given.
+// Default is the name of the scenario that is run when none is given.
 const Default = "tour"
 
 // Shipped returns the names of the scenarios that are built into the program.
@@ -50,8 +50,8 @@
 	return Parse(name, text)
 }
 
-// Parse reads and validates the text of a scenario. The file name gives the scenario its name and appears in errors. The
-// error joins all that is wrong, one per line.
+// Parse reads and validates the text of a scenario. The scenario is named after the file, which errors name too. All unknown
+// keys, or else all invalid values, are reported in one error with a line for each.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s, base := defaults(), &Scenario{}
 	var header struct{ Extends string }
@@ -104,8 +104,8 @@
 	return s, nil
 }
 
-// inherit copies a list from the extended scenario where the extending one does not define it. Troubles and ramps are not
-// inherited: they are what distinguishes a scenario.
+// inherit copies a list from the extended scenario if the extending one does not define it. It is not used for troubles and
+// ramps, because they are what distinguishes a scenario.
 func inherit[T any](list *[]T, base []T) {
 	if *list == nil {
 		*list = slices.Clone(base)
@@ -216,7 +216,7 @@
 	}
 }
 
-// Text returns the text of a scenario by its name or path, as Open finds it.
+// Text returns the text of the scenario that Open reads for the same name or path.
 func Text(name string) ([]byte, error) {
 	if slices.Contains(Shipped(), name) {
 		return shipped.ReadFile("shipped/" + name + ".toml")
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,15 +1,16 @@
-// Package scenario defines what the laboratory plays in a run: the format of scenario files, their validation, and the world
-// and load plan that are generated from them.
+// Package scenario defines the input of a laboratory run: the format of scenario files, their validation, and the world and the
+// load plan that are generated from them.
 package scenario
 
-// Scenario is a run as its file describes it. Times are in seconds, rates per second.
+// Scenario is a run as its file describes it. Times are in seconds, rates per second. Length is the duration of the load; the
+// run then continues until each accepted notification has its final answer or the time for one has passed.
 type Scenario struct {
 	Name        string             `toml:"-"`
 	Title       string             `toml:"title"`
 	About       string             `toml:"about"`
 	Extends     string             `toml:"extends"` // shipped scenario that provides the values missing here
 	Seed        uint64             `toml:"seed"`
-	Length      float64            `toml:"length"` // of the load; the run lasts until all accepted notifications have their final answer
+	Length      float64            `toml:"length"`
 	Dispatchers Dispatchers        `toml:"dispatchers"`
 	Recovery    Recovery           `toml:"returns"`
 	Topics      []Topic            `toml:"topics"`
@@ -61,8 +62,8 @@
 type Topic struct {
 	Name        string  `toml:"name"`
 	Repeat      string  `toml:"repeat"`
-	DedupWindow float64 `toml:"memory"` // collapsible: how long endpoints recognise a repeat
-	DedupScope  string  `toml:"group"`  // collapsible: "all" endpoints of the destination recognise a repeat, or those of one "zone"
+	DedupWindow float64 `toml:"memory"` // collapsible: how long endpoints recognize a repeat
+	DedupScope  string  `toml:"group"`  // collapsible: "all" endpoints of the destination recognize a repeat, or those of one "zone"
 	Objective   float64 `toml:"objective"`
 	TTL         float64 `toml:"ttl"`
 	Benefit     float64 `toml:"benefit"`
@@ -71,7 +72,7 @@
 	Share       float64 `toml:"share"` // weight in the load
 }
 
-// Tenant is a client's organisation.
+// Tenant is an organization whose clients hand in notifications.
 type Tenant struct {
 	Name      string  `toml:"name"`
 	Share     float64 `toml:"share"` // weight in the load
@@ -122,13 +123,13 @@
 	ServiceTime     float64   `toml:"service"`        // median service time of a call
 	ServiceSigma    float64   `toml:"service_spread"` // standard deviation of the logarithm of the service time; 0: constant
 	MedianSigma     float64   `toml:"pace_spread"`    // standard deviation of the logarithm of the median over the destinations
-	SharedListeners int       `toml:"listeners"`      // listeners that the destinations share, per endpoint number; 0: one per endpoint
+	SharedListeners int       `toml:"listeners"`      // listeners shared by the destinations, per endpoint number; 0: one per endpoint
 }
 
 // Load is how notifications arrive.
 type Load struct {
 	Rate                  float64     `toml:"rate"`
-	ClosedLoop            int         `toml:"closed"`     // connections that each wait for the answer before the next hand-in; 0: open loop
+	ClosedLoop            int         `toml:"closed"`     // concurrent hand-ins in a closed loop; 0: open loop
 	Clients               int         `toml:"clients"`    // client processes
 	BurstShare            float64     `toml:"clumps"`     // share of notifications that arrive in bursts for one destination
 	BurstSize             int         `toml:"clump_size"` // notifications in a burst
@@ -141,7 +142,7 @@
 	Ramp                  []RampPoint `toml:"ramp"`       // factor on the rate over time
 }
 
-// RampPoint is the factor at a time. Between two points the factor is interpolated linearly.
+// RampPoint sets the factor on the rate at one time. Between two points the factor is interpolated linearly.
 type RampPoint struct {
 	At     float64 `toml:"at"`
 	Factor float64 `toml:"factor"`
@@ -156,10 +157,10 @@
 	LoseAnswers       = "lost"      // a share of calls is executed and never answered
 	ResetConnections  = "reset"     // a share of calls is executed, then the connection is reset instead of an answer
 	BreakReused       = "reused"    // a share of calls on reused connections has its connection reset before it is executed
-	LateAnswers       = "late"      // a share of calls is executed and answered just after the earliest TTL in it, which counts as no answer
+	LateAnswers       = "late"      // a share of calls is executed and answered after the earliest TTL in it: counts as no answer
 	TruncateAnswers   = "cut"       // a share of answers is truncated
 	CorruptAnswers    = "spoil"     // a share of answers cannot be parsed
-	CloseAfterAnswer  = "close"     // a share of connections is closed after a good answer, without a Connection: close header
+	CloseAfterAnswer  = "close"     // after a share of good answers the connection is closed, without a Connection: close header
 	RejectAll         = "shut"      // endpoints reject all calls; when announced, with a told wait until the end of the trouble
 	ChangeLimit       = "limit"     // the rate limit is multiplied by the factor
 	Drain             = "drain"     // endpoints drain, are removed, and are replaced
@@ -175,7 +176,7 @@
 	BusyDisk          = "busy-disk" // another process writes to the disk of the dispatchers' state directories
 )
 
-// Trouble is something that goes wrong for a limited time.
+// Trouble is one planned disturbance of a run: a fault of partners, dispatchers, agents or disks, or a change of the load.
 type Trouble struct {
 	Kind         string  `toml:"kind"`
 	At           float64 `toml:"at"`
@@ -185,7 +186,7 @@
 	Destinations []int   `toml:"destinations"` // the destinations by number, from 0; empty: chosen by Pick and Count
 	Endpoint     int     `toml:"endpoint"`     // number of the only affected endpoint of each destination, from 1; 0: all
 	Dispatchers  []int   `toml:"dispatchers"`  // the dispatchers by number, from 0; empty: all
-	Share        float64 `toml:"share"`        // of calls or answers; 0: all
+	Share        float64 `toml:"share"`        // of the calls, answers or notifications that the kind affects; 0: all
 	Factor       float64 `toml:"factor"`
 	Announced    bool    `toml:"tell"`    // shut: rejections carry a told wait; limit: load reports show the new limit
 	Wait         float64 `toml:"wait"`    // drain: time from its start to the removal of the endpoint; restart, kill: downtime
@@ -197,7 +198,7 @@
 // End returns when the trouble ends.
 func (t Trouble) End() float64 { return t.At + t.Duration }
 
-// CausesOutage reports whether the trouble takes a destination down, so that it goes through slow start afterwards.
+// CausesOutage reports whether the trouble is an outage of its destinations, which go through slow start after it.
 func (t Trouble) CausesOutage() bool {
 	switch t.Kind {
 	case RefuseConnections, Hang, RejectAll:
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -43,7 +43,7 @@
 	// no scenario "outtage": did you mean "outage"? "lab list" names all
 }
 
-// The same scenario and seed give the same load plan, another seed gives another. Drained endpoints are replaced.
+// The same scenario and seed give the same load plan, and another seed gives another plan. Drained endpoints are replaced.
 func Example_world() {
 	s, err := scenario.Open("drains")
 	if err != nil {
--- a/lab/scenario/world.go
+++ b/lab/scenario/world.go
@@ -12,7 +12,7 @@
 type World struct {
 	*Scenario
 	Partners []Partner
-	Faults   []Fault // troubles of partners, in order of time
+	Faults   []Fault // troubles of partners, by the time at which they begin
 }
 
 // Partner is a destination with its endpoints.
@@ -49,12 +49,12 @@
 	Dests map[int]bool
 }
 
-// ActiveOn reports whether the fault is of a kind and acts on an endpoint at a time.
+// ActiveOn reports whether the fault is of the given kind and acts on endpoint e at the time now.
 func (f *Fault) ActiveOn(kind string, now float64, e Endpoint) bool {
 	return f.Kind == kind && now >= f.At && now < f.End() && f.AppliesTo(e)
 }
 
-// AppliesTo reports whether the fault acts on an endpoint at any time.
+// AppliesTo reports whether the fault acts on endpoint e at any time of the run.
 func (f *Fault) AppliesTo(e Endpoint) bool {
 	return f.Dests[e.Dest] && (f.Endpoint == 0 || f.Endpoint == e.Number+1)
 }
@@ -192,8 +192,8 @@
 	return chosen
 }
 
-// CapacityShare returns the share of its capacity that a destination has at a time: less than 1 in the slow start after an
-// outage. During an outage it is the share with which the slow start begins.
+// CapacityShare returns the share of its capacity that a destination has at the time now: less than 1 in the slow start after
+// an outage. During an outage it is the share with which the slow start begins. Outages of a single endpoint do not count.
 func (w *World) CapacityShare(dest int, now float64) float64 {
 	share, latest := 1.0, math.Inf(-1)
 	for i := range w.Faults {
@@ -207,7 +207,7 @@
 	return share
 }
 
-// InOutage reports whether a destination has an outage at a time.
+// InOutage reports whether a destination has an outage at the time now. Outages of a single endpoint do not count.
 func (w *World) InOutage(dest int, now float64) bool {
 	return slices.ContainsFunc(w.Faults, func(f Fault) bool {
 		return f.CausesOutage() && f.Endpoint == 0 && f.Dests[dest] && now >= f.At && now < f.End()
@@ -217,9 +217,9 @@
 // ListedRate returns the rate of a destination as the list states it, rounded to hundredths of a call per second.
 func (p *Partner) ListedRate() float64 { return math.Round(p.Rate*100) / 100 }
 
-// Arrival is one notification of the load plan.
+// Arrival is one notification of the load plan. Topic, Tenant, Dest and Client are indexes.
 type Arrival struct {
-	At     float64
+	At     float64 // seconds since the start of the run
 	Topic  int
 	Tenant int
 	Dest   int
@@ -227,7 +227,7 @@
 	Key    int // from 1 for an ordered topic type, else 0
 }
 
-// Arrivals returns the load plan in order of time.
+// Arrivals returns the load plan, sorted by time of arrival.
 func (w *World) Arrivals() []Arrival {
 	rng := w.randomSource(purposeArrivals)
 	topics := make([]float64, len(w.Topics))
@@ -243,15 +243,15 @@
 		dests[i] = p.Share
 	}
 	byTopic, byTenant, byDest := newCumulativeShares(topics), newCumulativeShares(tenants), newCumulativeShares(dests)
-	keys := max(1, w.Load.Keys/len(w.Partners))
-	l := w.Load
-	eventRate := l.Rate * (1 - l.BurstShare + l.BurstShare/float64(l.BurstSize)) // a burst is one event
-	burstChance := l.BurstShare / float64(l.BurstSize) / (1 - l.BurstShare + l.BurstShare/float64(l.BurstSize))
+	keysPerDest := max(1, w.Load.Keys/len(w.Partners))
+	load := w.Load
+	eventRate := load.Rate * (1 - load.BurstShare + load.BurstShare/float64(load.BurstSize)) // a burst is one event
+	burstChance := load.BurstShare / float64(load.BurstSize) / (1 - load.BurstShare + load.BurstShare/float64(load.BurstSize))
 	var list []Arrival
 	add := func(at float64, dest, client, tenant int) {
 		a := Arrival{At: at, Dest: dest, Client: client, Tenant: tenant, Topic: byTopic.draw(rng)}
 		if w.Topics[a.Topic].Ordered {
-			a.Key = 1 + rng.IntN(keys)
+			a.Key = 1 + rng.IntN(keysPerDest)
 		}
 		list = append(list, a)
 	}
@@ -265,10 +265,10 @@
 		if factor == 0 || w.LoadFactor(at) == 0 {
 			continue
 		}
-		dest, client, tenant := byDest.draw(rng), rng.IntN(l.Clients), byTenant.draw(rng)
+		dest, client, tenant := byDest.draw(rng), rng.IntN(load.Clients), byTenant.draw(rng)
 		n := 1
 		if rng.Float64() < burstChance {
-			n = l.BurstSize
+			n = load.BurstSize
 		}
 		for range n {
 			add(at, dest, client, tenant)
@@ -277,7 +277,7 @@
 	for _, t := range w.Troubles {
 		if t.Kind == HotClient {
 			for at := t.At; ; {
-				if at += rng.ExpFloat64() / (l.Rate * t.Factor); at >= min(t.End(), w.Length) {
+				if at += rng.ExpFloat64() / (load.Rate * t.Factor); at >= min(t.End(), w.Length) {
 					break
 				}
 				add(at, byDest.draw(rng), 0, 0)
@@ -288,7 +288,7 @@
 	return list
 }
 
-// LoadFactor returns the factor on the rate of the load at a time.
+// LoadFactor returns the factor on the rate of the load at the time now.
 func (w *World) LoadFactor(now float64) float64 {
 	factor, ramp := 1.0, w.Load.Ramp
 	if i := slices.IndexFunc(ramp, func(p RampPoint) bool { return p.At > now }); len(ramp) > 0 {
