--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab plays scenarios: it runs real dispatcher processes against simulated partners, platform agents and clients, all
-// on loopback, checks the rules and computes the figures of the run. It imports the product; the product never imports it.
+// Package lab runs scenarios: it starts real dispatcher processes with simulated partners, platform agents and clients, all on
+// loopback, checks the delivery rules and computes the figures of the run. It imports the product; the product never imports it.
 package lab
 
 import (
@@ -23,16 +23,16 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Options configures how a scenario is played.
+// Options configures a run.
 type Options struct {
-	Command     fleet.Command           // starts a dispatcher
-	Direct      bool                    // call the partners directly, without dispatchers
-	StateDir    string                  // parent of the dispatchers' state directories; "" for the temporary directory
-	KeepDir     string                  // directory for configurations, logs and the journal; "" to discard them
-	Network     loop.Network            // 0 picks a free one
-	Progress    func(Progress)          // called about once per second; may be nil
-	AnswerShape partner.ResponseEncoder // form of the endpoints' answers on the wire; nil: with a Content-Length
-	Hooks       Hooks                   // may be nil
+	Command         fleet.Command           // starts a dispatcher
+	Direct          bool                    // call the partners directly, without dispatchers
+	StateDir        string                  // parent of the dispatchers' state directories; "" for the temporary directory
+	KeepDir         string                  // directory for configurations, logs and the journal; "" to discard them
+	Network         loop.Network            // 0 picks a free one
+	Progress        func(Progress)          // called about once per second; may be nil
+	ResponseEncoder partner.ResponseEncoder // encodes the endpoints' answers; nil: with a Content-Length
+	Hooks           Hooks                   // may be nil
 }
 
 // Hooks lets a caller act during a run.
@@ -46,20 +46,20 @@
 
 // Progress is the state of a run in progress.
 type Progress struct {
-	At, Length        float64
-	HandedIn, Planned int
-	Calls, Notices    int
-	LoadDone          bool // the load is over, and the run waits for final answers
+	At, Length        float64 // time since the start and duration of the load, in seconds
+	HandedIn, Planned int     // notifications of the load plan
+	Calls, Notices    int     // received by the endpoints and by the agents
+	LoadDone          bool    // the load is over, and the run waits for final answers
 }
 
 const (
-	pollInterval     = 100 * time.Millisecond
-	progressInterval = time.Second
-	judgingMargin    = 0.4 // seconds after the last TTL in which a rule can still be judged
+	pollInterval      = 100 * time.Millisecond
+	progressInterval  = time.Second
+	finalAnswerMargin = 0.4 // seconds from the last TTL to the end of the run, by which rules.Lost counts missing final answers as overdue
 )
 
-// Run plays a scenario and returns its result and journal. When ctx is cancelled, the result covers the part that was played
-// and is marked as interrupted.
+// Run runs a scenario and returns its result and journal. If ctx is cancelled, the result covers the run until then and is marked
+// as interrupted.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*report.Result, *record.Journal, error) {
 	w := scenario.NewWorld(s)
 	j, clock := &record.Journal{}, &loop.Clock{}
@@ -83,7 +83,7 @@
 		}
 		defer release()
 	}
-	partners, err := partner.Start(w, j, clock, network, o.AnswerShape)
+	partners, err := partner.Start(w, j, clock, network, o.ResponseEncoder)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -175,7 +175,7 @@
 			loadOver = true
 		default:
 		}
-		if loadOver && (o.Direct || clock.Now() > w.Length+maxTTL+judgingMargin || report.CountOwed(j) == 0 && clock.Now() >= w.Length) {
+		if loadOver && (o.Direct || clock.Now() > w.Length+maxTTL+finalAnswerMargin || report.CountOwed(j) == 0 && clock.Now() >= w.Length) {
 			return
 		}
 		if o.Progress != nil && time.Since(lastProgress) >= progressInterval {
@@ -207,8 +207,7 @@
 	return errors.Join(j.Write(f), f.Close())
 }
 
-// busyDisk writes files to the disk of the dispatchers' state directories and syncs them, for the time of each busy-disk
-// trouble.
+// busyDisk writes files to the disk of the dispatchers' state directories and syncs them, during each busy-disk trouble.
 func busyDisk(ctx context.Context, w *scenario.World, clock *loop.Clock, dir string) {
 	const fileSize, blockSize = 32 << 20, 1 << 20
 	if !slices.ContainsFunc(w.Troubles, func(t scenario.Trouble) bool { return t.Kind == scenario.BusyDisk }) {
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -26,7 +26,7 @@
 	"orchiddrift/lab/scenario"
 )
 
-// TestMain lets the test binary run as a dispatcher, or as a planted one that breaks a rule.
+// TestMain runs the test binary as a dispatcher, or as a planted one that breaks a rule, if ORCHIDDRIFT_TEST is set.
 func TestMain(m *testing.M) {
 	role, rule, _ := strings.Cut(os.Getenv("ORCHIDDRIFT_TEST"), ":")
 	var err error
@@ -73,7 +73,8 @@
 	return strings.Join(list, " ")
 }
 
-// A planted dispatcher that breaks a rule is found to break it. One that keeps all rules and the real dispatcher are not.
+// Guards against rules that detect nothing, or that report violations where there are none: a planted dispatcher that breaks a
+// rule must lead to a violation of it, and a planted one that keeps all rules, like the real dispatcher, to none.
 func TestPlanted(t *testing.T) {
 	for _, rule := range append([]string{"none", "real"}, rules.All...) {
 		t.Run(rule, func(t *testing.T) {
@@ -100,7 +101,7 @@
 	}
 }
 
-// The real dispatcher keeps the rules while several troubles act together.
+// The real dispatcher keeps the rules in scenarios with several troubles at once.
 func TestScenarios(t *testing.T) {
 	for _, name := range []string{"tour", "all-at-once", "lost-and-killed", "cold-restart", "drain-in-wait", "late"} {
 		t.Run(name, func(t *testing.T) {
@@ -124,8 +125,8 @@
 	}
 }
 
-// Dispatchers are killed at random times under load; ORCHIDDRIFT_KILLS sets how often, 1000 for the long form. Each accepted
-// notification gets exactly one final answer, and no once-only one takes effect twice.
+// Dispatchers are killed at random times under load. The run must keep all rules: each accepted notification gets its final answer,
+// and no once-only one takes effect twice. ORCHIDDRIFT_KILLS sets the number of kills; the long form of the test has 1000.
 func TestKills(t *testing.T) {
 	t.Parallel()
 	const dispatchers, gap = 5, 0.7
@@ -161,7 +162,8 @@
 		r.Totals.Delivered, r.Totals.GivenUp, r.Totals.HandedBack, r.Totals.Pushes)
 }
 
-// A component that fails to start gives an error of one line, and the run cleans up after itself.
+// A run in which a part fails to start returns an error of one line: an endpoint whose address is in use, a dispatcher that exits,
+// or a state directory that cannot be created. Another run can then use the same network.
 func TestBadStart(t *testing.T) {
 	s := open("calm")
 	network, release, err := loop.AcquireNetwork()
@@ -189,7 +191,7 @@
 	}
 }
 
-// An interrupted run ends its processes at once and keeps the records so far.
+// A run that is interrupted leaves no process behind, writes its journal and returns the figures so far.
 func TestInterrupt(t *testing.T) {
 	s := open("calm")
 	dir := t.TempDir()
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -58,13 +58,13 @@
 	IDs          []string    `json:"ids"`              // hand-ins that the call carries
 	FirstByteAt  float64     `json:"first"`            // when the first byte of the request arrived
 	LastByteAt   float64     `json:"last"`             // when the last byte of the request arrived
-	EndedAt      float64     `json:"end,omitempty"`    // when the answer was written or the connection ended; 0 while neither has happened
+	EndedAt      float64     `json:"end,omitempty"`    // when the answer was written or the connection ended; 0: neither yet
 	CallerClosed bool        `json:"left,omitempty"`   // the caller closed the connection before the answer
 	Status       int         `json:"status,omitempty"` // HTTP status
 	ToldWait     float64     `json:"wait,omitempty"`   // told wait of the answer
 	States       []PushState `json:"states"`           // outcome that the answer reports, for each of IDs
 	Ran          []bool      `json:"ran"`              // whether the partner really executed the push, for each of IDs
-	Cause        string      `json:"why,omitempty"`    // the simulated fault or limit behind the answer
+	Cause        string      `json:"why,omitempty"`    // the simulated fault or exhausted resource behind the answer
 }
 
 // ListUpdate is a change to the list of endpoints that the agent sent to a dispatcher.
@@ -115,12 +115,12 @@
 	Resumed       = "goes on"
 	Exited        = "ended"   // the process exited on request
 	Crashed       = "crashed" // the process exited without a request
-	LimitExceeded = "over"    // the process used more than one of its limits
+	LimitExceeded = "over"    // the process exceeded one of its limits
 )
 
-// Journal collects the records of a run. Its methods may be called concurrently.
+// Journal collects the records of a run. Its methods may be called concurrently. mu guards all fields.
 type Journal struct {
-	lock          sync.Mutex
+	mu            sync.Mutex
 	HandIns       []*HandIn
 	Calls         []*Call
 	ListUpdates   []ListUpdate
@@ -130,8 +130,8 @@
 
 // WithLock runs f while it holds the journal's lock. Records already in the journal may only be read or changed within f.
 func (j *Journal) WithLock(f func()) {
-	j.lock.Lock()
-	defer j.lock.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	f()
 }
 
@@ -167,10 +167,10 @@
 	j.WithLock(func() { j.ProcessEvents = append(j.ProcessEvents, e) })
 }
 
-// Write writes all records as JSON, one object a line, each under the name of its kind.
+// Write writes all records as JSON, one object per line. The only key of the object is the kind of the record.
 func (j *Journal) Write(to io.Writer) error {
-	j.lock.Lock()
-	defer j.lock.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	b := bufio.NewWriter(to)
 	e := json.NewEncoder(b)
 	err := encodeAll(e, "hand_in", j.HandIns, nil)
--- a/lab/soak/answers.go
+++ b/lab/soak/answers.go
@@ -9,14 +9,14 @@
 	"orchiddrift/lab/partner"
 )
 
-// responseShaper varies the encoding of the endpoints' answers: how the end of the body is marked, interim responses, and the
-// byte at which some answers are truncated.
-type responseShaper struct {
-	lock   sync.Mutex
+// randomEncoder encodes the endpoints' answers in random ways: it varies how the end of the body is marked, adds interim
+// responses, and truncates some answers. mu guards random.
+type randomEncoder struct {
+	mu     sync.Mutex
 	random *rand.Rand
 }
 
-// The shares of the encodings.
+// The probabilities of the encodings.
 const (
 	// The shares of the answers that are chunked, end with the connection, or follow an interim response. The other answers have
 	// a Content-Length. trailerShare is the share of the chunked answers that have a trailer.
@@ -26,9 +26,9 @@
 )
 
 // encode returns an answer with the given head and body in a random encoding.
-func (s *responseShaper) encode(head, body []byte) partner.EncodedResponse {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+func (s *randomEncoder) encode(head, body []byte) partner.EncodedResponse {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var response partner.EncodedResponse
 	encoded := &bytes.Buffer{}
 	if s.random.Float64() < interimShare {
--- a/lab/soak/leaving.go
+++ b/lab/soak/leaving.go
@@ -7,17 +7,18 @@
 	"orchiddrift/lab/record"
 )
 
-// terminatingPicker directs a share of the hand-ins to dispatchers that are terminating, because clients use their open
-// connections until the dispatcher closes them or is killed.
+// terminatingPicker chooses terminating dispatchers for a share of the hand-ins. It stands for clients that use an open connection
+// until the dispatcher closes it or is killed. mu guards random.
 type terminatingPicker struct {
 	journal *record.Journal
-	lock    sync.Mutex
+	mu      sync.Mutex
 	random  *rand.Rand
 }
 
 // terminatingShare is the share of the hand-ins that go to a terminating dispatcher while there is one.
 const terminatingShare = 0.4
 
+// newTerminatingPicker returns a picker that finds terminating dispatchers in the journal.
 func newTerminatingPicker(j *record.Journal, seed uint64) *terminatingPicker {
 	return &terminatingPicker{journal: j, random: newRand(seed, terminatingStream)}
 }
@@ -25,8 +26,8 @@
 // pick returns a dispatcher that got a termination signal and has not exited, or false if there is none or this hand-in
 // is not in the share.
 func (p *terminatingPicker) pick() (int, bool) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if p.random.Float64() >= terminatingShare {
 		return 0, false
 	}
--- a/lab/soak/machine.go
+++ b/lab/soak/machine.go
@@ -54,9 +54,9 @@
 	return len(marks), os.WriteFile(path, append(marks, '+'), 0o600)
 }
 
-// faultInjector holds the faults of a process's host, by the time since the start of the process.
+// faultInjector holds the faults of a process's host. mu guards random and startFailures.
 type faultInjector struct {
-	lock          sync.Mutex
+	mu            sync.Mutex
 	random        *rand.Rand
 	startedAt     time.Time
 	clockStep     time.Duration // offset of the wall clock
@@ -66,7 +66,7 @@
 	startFailures int           // number of further calls to open the folder, read the configuration or listen that fail
 }
 
-// faultWindow is a period with a fault, in time since the start of the process.
+// faultWindow is a period with a fault. Its bounds count from the start of the process.
 type faultWindow struct{ from, until time.Duration }
 
 // The frequencies and sizes of the faults.
@@ -131,29 +131,29 @@
 
 // occurs draws whether an event of probability p occurs.
 func (in *faultInjector) occurs(p float64) bool {
-	in.lock.Lock()
-	defer in.lock.Unlock()
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	return in.random.Float64() < p
 }
 
 // pickError returns a random one of the errors.
 func (in *faultInjector) pickError(errs ...error) error {
-	in.lock.Lock()
-	defer in.lock.Unlock()
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	return errs[in.random.IntN(len(errs))]
 }
 
 // randomBelow returns a random number in [0, n).
 func (in *faultInjector) randomBelow(n int) int {
-	in.lock.Lock()
-	defer in.lock.Unlock()
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	return in.random.IntN(n)
 }
 
-// startFault returns an error for the first startFailures calls.
+// startFault returns an error while startFailures is positive, and counts it down.
 func (in *faultInjector) startFault() error {
-	in.lock.Lock()
-	defer in.lock.Unlock()
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	if in.startFailures--; in.startFailures >= 0 {
 		return &os.PathError{Op: "open", Path: "soak", Err: syscall.EIO}
 	}
--- a/lab/soak/overlaps.go
+++ b/lab/soak/overlaps.go
@@ -10,7 +10,7 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Pair is a pair of kinds of faults, in the order of their names.
+// Pair is a pair of kinds of faults, in alphabetical order.
 type Pair struct{ A, B string }
 
 // Overlaps counts how often two kinds of faults were active at the same time.
@@ -21,6 +21,7 @@
 	scenario.Drain, scenario.Hang, scenario.RefuseConnections, scenario.RejectAll, scenario.ChangeLimit, scenario.Surge, scenario.FailCalls, scenario.LoseAnswers,
 	scenario.ResetConnections, scenario.BreakReused, scenario.LateAnswers, scenario.TruncateAnswers, scenario.CorruptAnswers, scenario.CloseAfterAnswer}
 
+// newPair returns the pair of two kinds, given in any order.
 func newPair(a, b string) Pair { return Pair{min(a, b), max(a, b)} }
 
 // troubleEnd returns the time at which a fault ends, including the downtime of its processes, in seconds.
@@ -54,7 +55,8 @@
 	}
 }
 
-// Missing lists the pairs of kinds that a plan may draw and that were never active at the same time.
+// Missing lists the pairs of kinds that a plan may draw and that were never active at the same time, pairs of a kind with itself
+// included. It leaves out the pairs of scenario.MoveAgent with itself and with the kinds before it in troubleKinds.
 func (o Overlaps) Missing() (list []string) {
 	for i, a := range troubleKinds {
 		for _, b := range troubleKinds[:i+1] {
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -21,7 +21,7 @@
 	ratePerDispatcher = 4.0
 	// seriesPerSecond is how many series of signals begin per second.
 	seriesPerSecond = 0.15
-	// wideSeedInterval is the distance of the seeds with a wide plan.
+	// wideSeedInterval is the interval between the seeds that have a wide plan.
 	wideSeedInterval = 6
 	// The destinations of the wide group and the endpoints of each.
 	wideDestinations, wideEndpoints = 800, 4
@@ -31,7 +31,7 @@
 	wideShare = 0.3
 	// maxWideDispatchers is the largest number of dispatchers in a wide plan.
 	maxWideDispatchers = 12
-	// floodSeedInterval is the distance of the seeds with floods of idle connections.
+	// floodSeedInterval is the interval between the seeds that have floods of idle connections.
 	floodSeedInterval = 4
 	// floodSockets is the limit of file descriptors of each dispatcher in a plan with floods.
 	floodSockets = 128
@@ -43,7 +43,7 @@
 	FloodedDispatchers []int // the dispatchers that get floods of idle connections
 }
 
-// newPlan draws the plan of a seed. The same seed and length, in seconds, always give the same plan.
+// newPlan draws the plan of a seed. length is the duration of the load in seconds. The same seed and length give the same plan.
 func newPlan(seed uint64, length float64) (*Plan, error) {
 	s, err := scenario.Open("calm")
 	if err != nil {
@@ -165,9 +165,9 @@
 	return t
 }
 
-// drawSeries draws a series of signals to at most a third of the dispatchers. With it go faults of some destinations: they
-// hang when the first signal comes, so that calls are in flight, then refuse connections during some of the restarts that
-// follow, and then recover.
+// drawSeries draws a series of signals to at most a third of the dispatchers, with faults of some destinations: they hang, or
+// execute calls without an answer, when the first signal comes, so that calls are in flight, then refuse connections during some
+// of the restarts that follow, and then recover.
 func drawSeries(s *scenario.Scenario, random *rand.Rand) []scenario.Trouble {
 	const minSignals, maxSignals = 3, 7
 	signals := scenario.Trouble{Kind: scenario.SignalSeries, SignalCount: minSignals + random.IntN(maxSignals-minSignals+1), Duration: 2 + 2.5*random.Float64()}
@@ -180,7 +180,7 @@
 	return []scenario.Trouble{signals, hang, refuse}
 }
 
-// hangLead is how long destinations hang before a series begins, in seconds.
+// hangLead is how long before a series the faults of its destinations begin, in seconds.
 const hangLead = 0.8
 
 // countDestinations returns the number of destinations in a scenario.
--- a/lab/soak/proxy.go
+++ b/lab/soak/proxy.go
@@ -12,14 +12,14 @@
 )
 
 // proxy is a TCP proxy between the clients and a dispatcher. It forwards the bytes of some connections in small chunks or with
-// a delay, and cuts some connections at any byte on the way to the dispatcher.
+// a delay, and cuts some connections after a random number of bytes from the client. mu guards random.
 type proxy struct {
 	upstream string // address of the dispatcher
 	listener net.Listener
-	lock     sync.Mutex
+	mu       sync.Mutex
 	random   *rand.Rand
-	done     sync.WaitGroup
-	ctx      context.Context
+	done     sync.WaitGroup  // goroutines that accept and relay connections
+	ctx      context.Context // the proxy ends when it is done
 }
 
 // connFaults holds the faults of a proxied connection.
@@ -56,8 +56,8 @@
 
 // drawFaults draws the faults of a new connection.
 func (p *proxy) drawFaults() connFaults {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var faults connFaults
 	if p.random.Float64() < connCutShare {
 		faults.cutAfter, faults.reset = 1+p.random.IntN(maxCutAfter), p.random.IntN(2) == 0
--- a/lab/soak/rude.go
+++ b/lab/soak/rude.go
@@ -14,15 +14,16 @@
 )
 
 // misbehavingClients simulates clients that misbehave during the load: they send incomplete requests, nothing, pipelined
-// requests or invalid bytes. It records connections that the dispatcher does not close in time, and missing answers.
+// requests or invalid bytes. It records connections that the dispatcher does not close in time, and missing answers. mu guards
+// findings and visits.
 type misbehavingClients struct {
 	addr            func(i int) string // address of a dispatcher
 	dispatcherCount int
 	ready           func(i int, from, to time.Time) bool // reports whether a dispatcher was ready all the time
 	random          *rand.Rand
-	lock            sync.Mutex
+	mu              sync.Mutex
 	findings        []string
-	visits          int // visits that were checked
+	visits          int // number of visits that were checked
 }
 
 // The timing and size of the visits.
@@ -56,8 +57,9 @@
 	visits.Wait()
 }
 
-// visit runs one client. It connects to a dispatcher, misbehaves in the given way, and records a finding if the dispatcher was
-// ready all the time but did not close the connection or answer.
+// visit runs client number n. It connects to a dispatcher and misbehaves in one of four ways, by kind; an incomplete request is
+// cut after the given number of bytes. It records a finding if the dispatcher was ready all the time but did not close the
+// connection or answer.
 func (c *misbehavingClients) visit(ctx context.Context, n, dispatcher, kind, cut int) {
 	startedAt := time.Now()
 	conn, err := net.DialTimeout("tcp", c.addr(dispatcher), time.Second)
@@ -101,8 +103,8 @@
 	if ctx.Err() != nil || !c.ready(dispatcher, startedAt, time.Now()) {
 		return
 	}
-	c.lock.Lock()
-	defer c.lock.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if c.visits++; failure != "" {
 		c.findings = append(c.findings, fmt.Sprintf("clients: dispatcher %d: %s", dispatcher, failure))
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -45,7 +45,7 @@
 	*report.Result
 }
 
-// Run runs the plan of a seed with length seconds of load. A finding is no error: the error reports that the run itself
+// Run runs the plan of a seed with length seconds of load. Findings are part of the result; an error means that the run itself
 // failed or that a log could not be read.
 func Run(ctx context.Context, seed uint64, length float64, options Options) (*Result, error) {
 	plan, err := newPlan(seed, length)
@@ -70,8 +70,8 @@
 	command.Env = append(append([]string{}, command.Env...), fmt.Sprint(seedEnv, "=", seed), folderEnv+"="+dir,
 		clockStepEnv+"="+stepClocks)
 	hooks := &soakHooks{seed: seed, dispatcherCount: s.Dispatchers.Count, flooded: plan.FloodedDispatchers}
-	shaper := &responseShaper{random: newRand(seed, answerStream)}
-	runResult, journal, err := lab.Run(ctx, s, lab.Options{Command: command, KeepDir: dir, AnswerShape: shaper.encode, Hooks: hooks})
+	encoder := &randomEncoder{random: newRand(seed, answerStream)}
+	runResult, journal, err := lab.Run(ctx, s, lab.Options{Command: command, KeepDir: dir, ResponseEncoder: encoder.encode, Hooks: hooks})
 	if err != nil {
 		return nil, err
 	}
@@ -132,11 +132,12 @@
 	return nil
 }
 
-// maxUnplannedStall is the longest unplanned stall of a dispatcher, in seconds, up to which findings count. With longer ones
-// the host is overloaded, and a run says more about it than about the dispatchers.
+// maxUnplannedStall is the longest unplanned stall of a dispatcher, in seconds, with which findings count. After a longer one the
+// cause of a finding may be an overloaded host instead of the dispatchers.
 const maxUnplannedStall = 0.3
 
-// unplannedStalls describes the long stalls of dispatchers that the plan did not stop.
+// unplannedStalls describes the stalls longer than maxUnplannedStall of dispatchers for which s plans neither a stall nor a series
+// of signals. stalls holds the longest stall of each dispatcher in seconds.
 func unplannedStalls(stalls map[int]float64, s *scenario.Scenario) (unplanned []string) {
 	for i := range s.Dispatchers.Count {
 		planned := slices.ContainsFunc(s.Troubles, func(t scenario.Trouble) bool {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -18,7 +18,7 @@
 	"orchiddrift/lab/scenario"
 )
 
-// TestMain runs the test binary as a dispatcher with injected faults or with a planted defect if ORCHIDDRIFT_TEST says so.
+// TestMain runs the test binary as a dispatcher with injected faults or with a planted defect if ORCHIDDRIFT_TEST is set to it.
 func TestMain(m *testing.M) {
 	role, rule, _ := strings.Cut(os.Getenv("ORCHIDDRIFT_TEST"), ":")
 	var err error
@@ -65,7 +65,7 @@
 	}
 }
 
-// Guards against shortSeeds that lose some of their faults when the drawing of plans changes.
+// Guards against a change of newPlan with which the plans of shortSeeds no longer have all the faults that they are meant to have.
 func TestShortSeeds(t *testing.T) {
 	wide, flooded, series := false, false, 0
 	for _, seed := range shortSeeds {
@@ -123,7 +123,7 @@
 	}
 }
 
-// Checks that a seed always gives the same plan, and that slow starts are a finding.
+// Checks that the same seed gives the same plan and another seed other faults, and that a slow start is a finding.
 func TestPlan(t *testing.T) {
 	a, err := newPlan(7, 10)
 	if err != nil {
