--- a/lab/modelcheck/judge.go
+++ b/lab/modelcheck/judge.go
@@ -8,10 +8,10 @@
 	"orchiddrift/gateway"
 )
 
-// checker records what happens outside the processes of a run and checks it against the delivery rules. Times are in
-// seconds of the world's clock.
+// checker records what happens outside the processes of a run and checks it against the delivery rules. Times are in seconds of
+// the world's clock. mu guards all fields but topic.
 type checker struct {
-	lock        sync.Mutex
+	mu          sync.Mutex
 	topic       topicRules
 	messages    []*messageRecord // in the order of their hand-in
 	violations  []string
@@ -52,12 +52,12 @@
 // mayHaveRun reports whether the sender cannot exclude that the call took effect.
 func (c *call) mayHaveRun() bool { return c.complete && !c.rejected }
 
-// report records a violation for a message.
+// report records a violation for a message. mu must be held.
 func (chk *checker) report(id, format string, args ...any) {
 	chk.violations = append(chk.violations, id+": "+fmt.Sprintf(format, args...))
 }
 
-// message returns the record of a message, or a new one outside of the list if no client handed it in.
+// message returns the record of a message, or a new one outside of messages if no client handed it in. mu must be held.
 func (chk *checker) message(id string) *messageRecord {
 	for _, m := range chk.messages {
 		if m.id == id {
@@ -69,15 +69,15 @@
 
 // handedIn records the hand-in of a message.
 func (chk *checker) handedIn(id string, expiresAt float64) {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	chk.messages = append(chk.messages, &messageRecord{id: id, expiresAt: expiresAt})
 }
 
 // handInAnswered records the answer that the client of a message got.
 func (chk *checker) handInAnswered(id string, accepted bool) {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	m := chk.message(id)
 	m.accepted, m.refused = accepted, !accepted
 }
@@ -85,8 +85,8 @@
 // connectionAttempted records an attempt to connect to an endpoint. It counts for all messages, since a connection is not
 // bound to one of them.
 func (chk *checker) connectionAttempted() {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	for _, m := range chk.messages {
 		m.attempts++
 	}
@@ -94,8 +94,8 @@
 
 // callStarted checks the start of a call, at its first byte, and records it.
 func (chk *checker) callStarted(now float64, id, endpoint, zone string, process *process) *call {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	started := &call{endpoint: endpoint, zone: zone, process: process, firstByteAt: now, inFlight: true}
 	i := slices.IndexFunc(chk.messages, func(m *messageRecord) bool { return m.id == id })
 	if i < 0 {
@@ -142,15 +142,15 @@
 
 // requestComplete records that the last byte of a call arrived, so that it may have run.
 func (chk *checker) requestComplete(c *call) {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	c.complete = true
 }
 
 // callsAbandoned records that calls are no longer in flight because their process closed the connection.
 func (chk *checker) callsAbandoned(calls []*call) {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	for _, c := range calls {
 		c.inFlight = false
 	}
@@ -158,8 +158,8 @@
 
 // callEnded records that a call is no longer in flight, and the status of its endpoint's answer; 0: no answer.
 func (chk *checker) callEnded(now float64, id string, c *call, status int) {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	c.inFlight = false
 	switch status {
 	case 200:
@@ -173,8 +173,8 @@
 
 // noticeReceived checks a notice. It records it as the final answer if the platform acknowledges it.
 func (chk *checker) noticeReceived(now float64, id, outcome string, acknowledged bool) {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	const earlyShare = 0.7 // share of the TTL during which an untried message must get no notice
 	m := chk.message(id)
 	if m.firstNoticeAt == 0 {
@@ -195,16 +195,16 @@
 
 // processReady records that a process is ready to push and to send notices.
 func (chk *checker) processReady(now float64) {
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	chk.lastReadyAt = now
 }
 
 // finish checks that each accepted message got its final answer in time, and returns all violations of the run.
 func (chk *checker) finish() []string {
 	const answerGrace, restartGrace = 0.3, 1.5 // seconds after the TTL and after a restart, as the protocol specifies
-	chk.lock.Lock()
-	defer chk.lock.Unlock()
+	chk.mu.Lock()
+	defer chk.mu.Unlock()
 	for _, m := range chk.messages {
 		deadline := max(m.expiresAt+answerGrace, chk.lastReadyAt+restartGrace) + timingSlack
 		switch {
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -23,34 +23,35 @@
 	os.Exit(m.Run())
 }
 
-// seriesPlayed counts the series that all tests have run.
-var seriesPlayed atomic.Int64
+// seriesRun is the number of series that all tests have run so far.
+var seriesRun atomic.Int64
 
-// play runs a plan in virtual time.
-func play(t *testing.T, plan Plan, fault Fault) (violations []string, operations []int) {
+// runPlan runs a plan in virtual time.
+func runPlan(t *testing.T, plan Plan, fault Fault) (violations []string, operations []int) {
 	t.Helper()
-	seriesPlayed.Add(1)
+	seriesRun.Add(1)
 	synctest.Test(t, func(*testing.T) { violations, operations = Run(plan, fault) })
 	return violations, operations
 }
 
-// killableAttempts are the outcomes of attempts in the exhaustive series.
-var killableAttempts = []Attempt{RefuseConnection, ConnectLate, ToldWaitOnConnect, RejectBusy, AnswerError, Hang, ResetUnanswered, TruncateRequest, KillMidRequest, KillAfterRequest}
+// singleMessageAttempts are the outcomes of attempts in exhaustive series, other than those that need a call with several messages.
+var singleMessageAttempts = []Attempt{RefuseConnection, ConnectLate, ToldWaitOnConnect, RejectBusy, AnswerError, Hang, ResetUnanswered, TruncateRequest, KillMidRequest, KillAfterRequest}
 
 // sharedCallAttempts adds the outcomes that differ between the messages of a call.
-var sharedCallAttempts = append([]Attempt{DeliverFirstOnly, FailLastOnly}, killableAttempts...)
+var sharedCallAttempts = append([]Attempt{DeliverFirstOnly, FailLastOnly}, singleMessageAttempts...)
 
 // planRunner runs plans on all cores and reports the first violations.
 type planRunner struct {
-	t            *testing.T
-	plans        chan Plan
-	done         sync.WaitGroup
-	playedBefore int64 // seriesPlayed at the start
-	violations   atomic.Int64
+	t               *testing.T
+	plans           chan Plan
+	done            sync.WaitGroup
+	seriesRunBefore int64 // value of seriesRun at the start
+	violations      atomic.Int64
 }
 
+// newPlanRunner returns a runner that applies check, which returns violations, to each plan sent to plans.
 func newPlanRunner(t *testing.T, check func(Plan) []string) *planRunner {
-	r := &planRunner{t: t, plans: make(chan Plan), playedBefore: seriesPlayed.Load()}
+	r := &planRunner{t: t, plans: make(chan Plan), seriesRunBefore: seriesRun.Load()}
 	for range runtime.GOMAXPROCS(0) {
 		r.done.Go(func() {
 			for plan := range r.plans {
@@ -65,20 +66,21 @@
 	return r
 }
 
+// wait waits until all plans have been run, and logs how many series that took.
 func (r *planRunner) wait() {
 	close(r.plans)
 	r.done.Wait()
-	r.t.Logf("%d series", seriesPlayed.Load()-r.playedBefore)
+	r.t.Logf("%d series", seriesRun.Load()-r.seriesRunBefore)
 }
 
-// Runs all series of three processes in which each attempt of a process has the same outcome, and each process is killed
-// after 1.2 s or by its attempt. A fourth process without faults follows. There are 1,000 series for each topic.
+// Runs all series of three processes in which each attempt of a process has the same outcome, and each process is killed after
+// DefaultLifetime or by its attempt. A fourth process without faults follows. There are 1,000 series for each topic.
 func TestThreeKilledProcesses(t *testing.T) {
-	r := newPlanRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
+	r := newPlanRunner(t, func(p Plan) []string { found, _ := runPlan(t, p, NoFault); return found })
 	for _, topic := range Topics {
-		for _, a := range killableAttempts {
-			for _, b := range killableAttempts {
-				for _, c := range killableAttempts {
+		for _, a := range singleMessageAttempts {
+			for _, b := range singleMessageAttempts {
+				for _, c := range singleMessageAttempts {
 					r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []Attempt{a}}, {Attempts: []Attempt{b}}, {Attempts: []Attempt{c}}}}
 				}
 			}
@@ -90,7 +92,7 @@
 // Runs all series of two processes with two messages that share calls, and all series of two processes with each combination
 // of list modes: complete, delayed, withheld, without the endpoint of the first call, or with that endpoint in another zone.
 func TestSharedCallsAndListModes(t *testing.T) {
-	r := newPlanRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
+	r := newPlanRunner(t, func(p Plan) []string { found, _ := runPlan(t, p, NoFault); return found })
 	for _, topic := range Topics {
 		for _, a := range sharedCallAttempts {
 			for _, b := range sharedCallAttempts {
@@ -109,7 +111,7 @@
 // Guards against a call for a refused message after a restart. The disk fails while two messages are handed in, any part of
 // the failing write reaches the file, and the process is killed before it can write again.
 func TestRefusedMessageNotCalled(t *testing.T) {
-	r := newPlanRunner(t, func(p Plan) []string { found, _ := play(t, p, NoFault); return found })
+	r := newPlanRunner(t, func(p Plan) []string { found, _ := runPlan(t, p, NoFault); return found })
 	for _, topic := range Topics {
 		for part := range 600 {
 			r.plans <- Plan{Topic: topic, ExtraMessagesAt: 0.1, Processes: []Process{
@@ -128,7 +130,7 @@
 				for op := 1; ; op++ {
 					plan := Plan{Topic: base.Topic, SharedCalls: base.SharedCalls, Processes: append([]Process{}, base.Processes...)}
 					plan.Processes[which].KillAtOp, plan.Processes[which].TornWriteBytes = op, keep
-					found, operations := play(t, plan, NoFault)
+					found, operations := runPlan(t, plan, NoFault)
 					for _, text := range found {
 						violations = append(violations, plan.String()+": "+text)
 					}
@@ -141,8 +143,8 @@
 		return violations
 	})
 	for _, topic := range Topics {
-		for _, a := range killableAttempts {
-			for _, b := range killableAttempts {
+		for _, a := range singleMessageAttempts {
+			for _, b := range singleMessageAttempts {
 				r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []Attempt{a}}, {Attempts: []Attempt{b}}}}
 			}
 		}
@@ -173,7 +175,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := Plan{rapid.SampledFrom(Topics).Draw(rt, "topic"), rapid.Bool().Draw(rt, "shared"), rapid.SliceOfN(process, 1, 5).Draw(rt, "processes"),
 			rapid.Float64Range(0, 0.5).Draw(rt, "extra messages")}
-		if found, _ := play(t, plan, NoFault); len(found) > 0 {
+		if found, _ := runPlan(t, plan, NoFault); len(found) > 0 {
 			rt.Fatalf("%v: %q", plan, found)
 		}
 	})
@@ -193,10 +195,10 @@
 		"lost notice":                 {LoseNotice, Plan{Topic: "once", Processes: []Process{unanswered}}},
 		"duplicate calls":             {DuplicateCalls, Plan{Topic: "free", Processes: nil}},
 	} {
-		if found, _ := play(t, c.plan, c.fault); len(found) == 0 {
+		if found, _ := runPlan(t, c.plan, c.fault); len(found) == 0 {
 			t.Errorf("%s: no violation found", name)
 		}
-		if found, _ := play(t, c.plan, NoFault); len(found) > 0 {
+		if found, _ := runPlan(t, c.plan, NoFault); len(found) > 0 {
 			t.Errorf("%s: violations without the fault: %q", name, found)
 		}
 	}
--- a/lab/modelcheck/plan.go
+++ b/lab/modelcheck/plan.go
@@ -1,5 +1,5 @@
 // Package modelcheck runs the messages of one dispatcher through a series of processes that share one ledger folder, with
-// crashes and faults as a plan says, and checks the calls and answers that result against the delivery rules. The gateway,
+// crashes and faults as a plan specifies, and checks the calls and answers that result against the delivery rules. The gateway,
 // the decision module, the ledger and the calls are those of the product; the package simulates the clock, the folder, the
 // connections, the endpoint list and the platform. It is meant for the virtual time of testing/synctest, in which a run
 // of ten seconds takes about a millisecond, so that all short series can be tried.
@@ -33,7 +33,7 @@
 	RefuseConnection Attempt = iota
 	// ConnectLate delays the connection, then answers the call as delivered.
 	ConnectLate
-	// ToldWaitOnConnect has the destination tell a wait while the connection is being set up.
+	// ToldWaitOnConnect sends the process a told wait of the destination while the connection is being set up.
 	ToldWaitOnConnect
 	// RejectBusy answers that the destination is busy: the call never ran.
 	RejectBusy
@@ -92,12 +92,12 @@
 	KillAtOp          int     // number of the operation at which it is killed, counted from 1; 0: none
 	TornWriteBytes    int     // bytes of a write that reach the file although the process is killed at it
 	GracefulStop      bool    // it is stopped gracefully at the end of its lifetime instead of killed
-	StopAtOp          int     // number of the operation at which a graceful stop begins, if its loop runs by then; 0: none
+	StopAtOp          int     // number of the operation at which a graceful stop begins, if its event loop runs by then; 0: none
 	DiskFaultAt       float64 // seconds after its start at which writes to its folder begin to fail
 	DiskFaultDuration float64 // seconds for which writes to its folder fail; 0: none fail
 	FailedWriteBytes  int     // bytes of the first failing write that reach the file
 	NoticesUnanswered bool    // its notices get no answer
-	Lifetime          float64 // seconds until it is killed, or stopped if GracefulStop is set; 0: DefaultLifetime
+	Lifetime          float64 // seconds until it is killed, or stopped gracefully if GracefulStop is set; 0: DefaultLifetime
 }
 
 // Plan is a series of processes. One more process without faults follows them.
--- a/lab/modelcheck/process.go
+++ b/lab/modelcheck/process.go
@@ -13,28 +13,29 @@
 	"orchiddrift/gateway"
 )
 
-// process is a simulated process of the dispatcher. Its operations have an effect until it is killed.
+// process is a simulated process of the dispatcher. Its operations have an effect until it is killed. mu guards opCount,
+// attemptCount, killed and conns, and the bytes left of the first failing write in plan.
 type process struct {
 	plan         Process
 	world        *world
 	startedAt    time.Time
 	runner       *gateway.Runner
-	lock         sync.Mutex
-	ops          int
+	mu           sync.Mutex
+	opCount      int // operations so far
 	attemptCount int // connection attempts so far
 	killed       bool
-	conns        []net.Conn // the endpoints' ends of its connections
-	stop         chan struct{}
+	conns        []net.Conn    // the endpoints' ends of its connections
+	stop         chan struct{} // closed when it is killed
 	loopDone     chan struct{} // closed when its event loop has ended
 }
 
-// beginOperation counts an operation, kills or stops the process if the plan says so, and reports whether the process is
-// alive to perform it.
+// beginOperation counts an operation, kills or stops the process if the plan does so at this operation, and reports whether the
+// process is alive to perform it.
 func (p *process) beginOperation() bool {
-	p.lock.Lock()
-	p.ops++
-	kills, stops := p.ops == p.plan.KillAtOp, p.ops == p.plan.StopAtOp && p.runner != nil
-	p.lock.Unlock()
+	p.mu.Lock()
+	p.opCount++
+	kills, stops := p.opCount == p.plan.KillAtOp, p.opCount == p.plan.StopAtOp && p.runner != nil
+	p.mu.Unlock()
 	if stops {
 		go p.world.stopGracefully(p)
 	}
@@ -46,21 +47,21 @@
 
 // alive reports whether the process has not been killed.
 func (p *process) alive() bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return !p.killed
 }
 
 // kill ends the process at once and closes its connections. Its later operations have no effect.
 func (p *process) kill() {
-	p.lock.Lock()
+	p.mu.Lock()
 	if p.killed {
-		p.lock.Unlock()
+		p.mu.Unlock()
 		return
 	}
 	p.killed = true
 	conns := p.conns
-	p.lock.Unlock()
+	p.mu.Unlock()
 	for _, c := range conns {
 		_ = c.Close()
 	}
@@ -69,18 +70,18 @@
 
 // nextAttempt returns the planned outcome of the next attempt.
 func (p *process) nextAttempt() Attempt {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	attempt := p.plan.Attempts[min(p.attemptCount, len(p.plan.Attempts)-1)]
 	p.attemptCount++
 	return attempt
 }
 
 // takeFailedWriteBytes returns how many bytes of a failing write reach the file: as planned for the first one, none for the
-// others. The caller never writes all bytes, because write(2) would then have succeeded.
+// others. The caller leaves out at least the last byte, because write(2) succeeds if it writes all of them.
 func (p *process) takeFailedWriteBytes() int {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n := p.plan.FailedWriteBytes
 	p.plan.FailedWriteBytes = 0
 	return n
@@ -159,10 +160,10 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	local, remote := net.Pipe()
-	p.lock.Lock()
+	p.mu.Lock()
 	killed := p.killed
 	p.conns = append(p.conns, remote)
-	p.lock.Unlock()
+	p.mu.Unlock()
 	if killed {
 		_ = local.Close()
 		_ = remote.Close()
@@ -179,9 +180,9 @@
 // openDuplicate opens a second connection to an endpoint, for the fault DuplicateCalls.
 func (p *process) openDuplicate(addr string) net.Conn {
 	local, remote := net.Pipe()
-	p.lock.Lock()
+	p.mu.Lock()
 	p.conns = append(p.conns, remote)
-	p.lock.Unlock()
+	p.mu.Unlock()
 	go p.world.serve(p, addr, remote, Hang, &processConn{Conn: local, process: p})
 	return local
 }
@@ -192,14 +193,14 @@
 	process   *process
 	attempt   Attempt
 	duplicate net.Conn // connection that gets a copy of all writes; nil for none
-	lock      sync.Mutex
+	mu        sync.Mutex
 	calls     []*call // calls that arrived on the connection
 }
 
 // addCall records a call that arrived on the connection.
 func (w *processConn) addCall(c *call) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	w.calls = append(w.calls, c)
 }
 
@@ -232,9 +233,9 @@
 // Close closes the connection in both directions. The calls on it end at this moment for the process, not when the endpoint
 // detects it.
 func (w *processConn) Close() error {
-	w.lock.Lock()
+	w.mu.Lock()
 	w.process.world.checker.callsAbandoned(w.calls)
-	w.lock.Unlock()
+	w.mu.Unlock()
 	if w.duplicate != nil {
 		_ = w.duplicate.Close()
 	}
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -24,26 +24,27 @@
 
 // The settings of a simulated dispatcher.
 const (
-	clockOrigin  = 1000.0   // the dispatcher's clock at the start of a run, in seconds
-	tickInterval = 0.005    // seconds
-	folderLimit  = 64 << 10 // bytes; enough for a few small segments
-	dest         = "1"      // destination of all messages
-	kind         = "plain"  // kind of all endpoints
+	clockOrigin   = 1000.0   // the dispatcher's clock at the start of a run, in seconds
+	tickInterval  = 0.005    // seconds
+	folderLimit   = 64 << 10 // bytes; enough for a few small segments
+	destinationID = "1"      // destination of all messages
+	endpointKind  = "plain"  // kind of all endpoints
 )
 
-// world simulates the surroundings of the processes of a run: the folder, the endpoints, the clients and the platform.
+// world simulates the environment of the processes of a run: the folder, the endpoints, the clients and the platform. mu guards
+// zones.
 type world struct {
 	startedAt  time.Time
 	folder     *faulty.Folder
 	checker    *checker
 	fault      Fault
-	lock       sync.Mutex
+	mu         sync.Mutex
 	zones      map[string]string // by endpoint, as in the latest list
 	invariants *invariant.Counters
 }
 
-// topics holds the rules of each topic by name. Ordered topics push the messages of a key one at a time.
-var topics = map[string]decide.Topic{
+// topicsByName holds the settings of each topic. The messages of a key of an ordered topic are pushed one at a time.
+var topicsByName = map[string]decide.Topic{
 	"once":  {Repeat: decide.OnceOnly, DedupScope: "all", Ordered: true},
 	"zoned": {Repeat: decide.Collapsible, DedupWindow: DedupWindow, DedupScope: "zone"},
 	"known": {Repeat: decide.Collapsible, DedupWindow: DedupWindow, DedupScope: "all", Ordered: true},
@@ -56,7 +57,7 @@
 // Run runs a plan with a fault. It returns the violations that the checker and the invariants found, and the number of
 // operations of each process, including the last one without faults.
 func Run(plan Plan, fault Fault) (violations []string, operations []int) {
-	topic := topics[plan.Topic]
+	topic := topicsByName[plan.Topic]
 	w := &world{startedAt: time.Now(), folder: faulty.New(), fault: fault, invariants: &invariant.Counters{Log: zerolog.Nop()},
 		checker: &checker{topic: topicRules{onceOnly: topic.Repeat == decide.OnceOnly, zoneScoped: topic.DedupScope == "zone", ordered: topic.Ordered && !plan.SharedCalls}}}
 	if topic.Repeat == decide.Collapsible {
@@ -114,9 +115,9 @@
 		p.kill()
 		<-p.loopDone
 	}
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.ops
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.opCount
 }
 
 // stopGracefully stops a process as the dispatcher does on a termination signal: it first closes the intake, then starts no
@@ -139,12 +140,12 @@
 
 // awaitExpiry waits until the final answers of all messages are due.
 func (w *world) awaitExpiry() {
-	w.checker.lock.Lock()
+	w.checker.mu.Lock()
 	lastExpiry := w.now()
 	for _, m := range w.checker.messages {
 		lastExpiry = max(lastExpiry, m.expiresAt)
 	}
-	w.checker.lock.Unlock()
+	w.checker.mu.Unlock()
 	const settleTime = 1.0 // seconds after the last TTL
 	time.Sleep(seconds(lastExpiry + settleTime - w.now()))
 }
@@ -160,13 +161,13 @@
 	}
 	var allTopics []decide.Topic
 	for _, name := range Topics {
-		t := topics[name]
+		t := topicsByName[name]
 		t.Name, t.Objective, t.TTL, t.Benefit = name, 1, TTL, 1
 		allTopics = append(allTopics, t)
 	}
 	batchSize := map[string]int{}
 	if shared {
-		batchSize[kind] = 10
+		batchSize[endpointKind] = 10
 	}
 	module := decide.New(1, endpoints, allTopics, decide.Capacity{MaxCalls: 6, MaxHeld: 20, BatchSize: batchSize}, decide.Routes{},
 		decide.Recovery{InitialCapacity: 0.2, WarmUp: 5, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 1},
@@ -186,7 +187,7 @@
 	return true
 }
 
-// applyFault returns the pending messages that a restart finds, changed as the fault says.
+// applyFault returns the pending messages that a process finds in the ledger, changed according to the fault.
 func (w *world) applyFault(pending []ledger.Pending) []ledger.Pending {
 	var changed []ledger.Pending
 	for _, entry := range pending {
@@ -203,15 +204,15 @@
 	return changed
 }
 
-// endpoints returns the list of endpoints for a mode, and sets the zones in which they are from now on.
+// endpoints returns the list of endpoints for a mode, and records their zones, which apply from now on.
 func (w *world) endpoints(mode ListMode) []directory.Endpoint {
-	first := directory.Endpoint{ID: "e1", Zone: "a", Kind: kind, Dest: dest, Stage: directory.Ready, Addr: "e1"}
-	second := directory.Endpoint{ID: "e2", Zone: "b", Kind: kind, Dest: dest, Stage: directory.Ready, Addr: "e2"}
+	first := directory.Endpoint{ID: "e1", Zone: "a", Kind: endpointKind, Dest: destinationID, Stage: directory.Ready, Addr: "e1"}
+	second := directory.Endpoint{ID: "e2", Zone: "b", Kind: endpointKind, Dest: destinationID, Stage: directory.Ready, Addr: "e2"}
 	if mode == ListFirstMoved {
 		first.Zone = "b"
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	w.zones = map[string]string{"e1": first.Zone, "e2": second.Zone}
 	if mode == ListWithoutFirst {
 		return []directory.Endpoint{second}
@@ -219,7 +220,7 @@
 	return []directory.Endpoint{first, second}
 }
 
-// sendList sends a process the list of endpoints as planned.
+// sendList sends a process the list of endpoints in the planned mode and after the delay of that mode.
 func (w *world) sendList(p *process) {
 	const delay, longDelay = 0.02, 0.8 // seconds
 	wait := delay
@@ -239,14 +240,14 @@
 // sendToldWait sends a process a told wait of the destination.
 func (w *world) sendToldWait(p *process, addr string) {
 	if p.alive() {
-		p.runner.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: addr, Dest: dest, Kind: kind}, Wait: 0.3})
+		p.runner.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: addr, Dest: destinationID, Kind: endpointKind}, Wait: 0.3})
 	}
 }
 
 // handIn hands in a message to a process.
 func (w *world) handIn(p *process, plan Plan, id string) {
 	m := &message.Message{ExpiresAt: w.now() + TTL, Body: []byte("body"), IdempotencyKey: "mark-" + id}
-	m.ID, m.Topic, m.Dest, m.Key = id, plan.Topic, dest, "key"
+	m.ID, m.Topic, m.Dest, m.Key = id, plan.Topic, destinationID, "key"
 	if plan.SharedCalls {
 		m.Key = "key of " + id
 	}
@@ -276,9 +277,9 @@
 		if err != nil {
 			return
 		}
-		w.lock.Lock()
+		w.mu.Lock()
 		zone := w.zones[endpoint]
-		w.lock.Unlock()
+		w.mu.Unlock()
 		calls := map[string]*call{}
 		ids := messageIDs(req, body)
 		for _, id := range ids {
