--- a/lab/planted/planted.go
+++ b/lab/planted/planted.go
@@ -1,6 +1,6 @@
-// Package planted is a dispatcher that breaks one rule on purpose. Tests use it to show that the laboratory's checker
-// detects violations. With no rule to break it keeps all of them by pushing slowly, one notification at a time to each
-// destination. It is not meant for any other use.
+// Package planted implements a dispatcher that deliberately breaks one rule. Tests use it to show that the laboratory detects
+// violations. Without a rule to break it keeps all of them by pushing slowly, one notification at a time to each destination. It
+// has no other use.
 package planted
 
 import (
@@ -22,10 +22,10 @@
 
 const (
 	pushInterval    = 100 * time.Millisecond  // after a delivery, before the next push to the destination
-	answerTimeout   = time.Second             // limit of a push
+	answerTimeout   = time.Second             // time limit of a push
 	overloadPushers = 40                      // concurrent pushes to a failing destination when breaking rules.Overload
 	lossInterval    = 5                       // one in lossInterval notifications is dropped when breaking rules.Lost
-	minRetryWait    = 400 * time.Millisecond  // least pause after a failed push
+	minRetryWait    = 400 * time.Millisecond  // shortest pause after a failed push
 	crashAfter      = 1500 * time.Millisecond // the process exits after this time when breaking rules.Crash
 )
 
@@ -110,7 +110,7 @@
 		var l platform.List
 		if json.NewDecoder(resp.Body).Decode(&l) == nil {
 			version = l.Version
-			if d.brokenRule != rules.Draining { // breaking it means to ignore all changes, drains included
+			if d.brokenRule != rules.Draining { // to break it, the dispatcher ignores all changes of the list, drains included
 				d.applyList(l)
 			}
 		}
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -22,7 +22,7 @@
 
 var pageTemplate = template.Must(template.New("report").Parse(page))
 
-// chart is a drawing of the report page. The page template reads its fields by name.
+// chart is a chart on the report page. The page template reads its fields by name.
 type chart struct {
 	Title string
 	SVG   template.HTML
@@ -32,8 +32,8 @@
 func (r *Result) WriteHTML(to io.Writer) error {
 	var charts []chart
 	s := r.Series
-	add := func(title, unit string, log bool, dest int, curves ...curve) error {
-		svg, err := r.draw(unit, log, dest, curves)
+	add := func(title, unit string, logScale bool, dest int, curves ...curve) error {
+		svg, err := r.draw(unit, logScale, dest, curves)
 		if err == nil {
 			charts = append(charts, chart{title, template.HTML(svg)}) // safe: the SVG is generated from numbers
 		}
@@ -77,7 +77,7 @@
 	points plotter.XYs
 }
 
-// points returns a value per step of the series, each at the middle of its step.
+// points returns the points of a curve that has a value for each step of the series, each at the middle of its step.
 func (s Series) points(list []float64) plotter.XYs {
 	xy := make(plotter.XYs, len(list))
 	for i, v := range list {
@@ -96,9 +96,9 @@
 	height   = 7 * vg.Centimeter
 )
 
-// draw returns a chart as SVG. The x axis is the time of the run, with the troubles of dest as shaded bands, or, with log, a
-// logarithmic scale of seconds without bands.
-func (r *Result) draw(unit string, log bool, dest int, curves []curve) (string, error) {
+// draw returns a chart as SVG. The x axis is the time of the run, with the troubles of dest as shaded bands. If logScale is set,
+// the x axis is a logarithmic scale of seconds instead, there are no bands, and the y axis ends at 1.
+func (r *Result) draw(unit string, logScale bool, dest int, curves []curve) (string, error) {
 	p := plot.New()
 	p.Y.Label.Text, p.X.Label.Text = unit, "seconds"
 	p.Y.Min = 0
@@ -110,7 +110,7 @@
 			maxY = max(maxY, xy.Y)
 		}
 	}
-	if log {
+	if logScale {
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 		p.Legend.Left = true
 	} else {
@@ -140,7 +140,7 @@
 		p.Legend.Add(c.name, plotted)
 	}
 	const headroom = 1.4 // space for the legend, as a factor on the largest value
-	if p.Y.Max = max(maxY*headroom, 1e-9); log {
+	if p.Y.Max = max(maxY*headroom, 1e-9); logScale {
 		p.Y.Max = 1
 	}
 	canvas := vgsvg.New(width, height)
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -20,7 +20,7 @@
 		Topics:   []scenario.Topic{{Name: "t", Objective: 1, TTL: 5, Benefit: 2, LateBenefit: 0.5}},
 		Troubles: []scenario.Trouble{{Kind: scenario.Hang, At: 1, Duration: 1, Destinations: []int{0}}}}
 	j := &record.Journal{}
-	hand := func(origin, try int, at float64, status int) string {
+	handIn := func(origin, try int, at float64, status int) string {
 		id := fmt.Sprint("0-", origin, "-", try)
 		j.AddHandIn(&record.HandIn{ID: id, PlanIndex: origin, Try: try, Topic: "t", PlannedAt: float64(origin), SentAt: at, AnsweredAt: at + 0.1,
 			Status: status, ExpiresAt: at + 5})
@@ -29,14 +29,14 @@
 	push := func(id string, at float64, state record.PushState) {
 		j.AddCall(&record.Call{IDs: []string{id}, LastByteAt: at, EndedAt: at + 0.1, States: []record.PushState{state}, Ran: []bool{state == record.Delivered}})
 	}
-	push(hand(0, 0, 0, 202), 0.2, record.Delivered)
-	late := hand(1, 0, 1, 202)
+	push(handIn(0, 0, 0, 202), 0.2, record.Delivered)
+	late := handIn(1, 0, 1, 202)
 	push(late, 1.2, record.Failed)
 	push(late, 3.9, record.Delivered)
-	hand(2, 0, 2, 503)
-	push(hand(2, 1, 2.5, 202), 2.7, record.Throttled)
+	handIn(2, 0, 2, 503)
+	push(handIn(2, 1, 2.5, 202), 2.7, record.Throttled)
 	j.AddNotice(record.Notice{ID: "0-2-1", Outcome: record.HandedBack, At: 4})
-	push(hand(3, 0, 3, 202), 3.2, record.Unanswered)
+	push(handIn(3, 0, 3, 202), 3.2, record.Unanswered)
 	j.AddNotice(record.Notice{ID: "0-3-0", Outcome: record.GivenUp, At: 4})
 	return report.New(report.RunData{World: scenario.NewWorld(s), Journal: j, EndedAt: 5, HandedIn: 4, Planned: 5,
 		Usage: []fleet.Usage{{CPUSeconds: 0.4, PeakBytes: 30e6, IdleBytes: 10e6}}})
@@ -61,7 +61,7 @@
 	// <nil> 4 pictures, true
 }
 
-// A difference counts as beyond the noise only when it exceeds the variation between repeats, and never for single runs.
+// A difference counts as beyond the noise only if it exceeds the variation between repeats, and never for a single run.
 func Example_compare() {
 	file := func(benefits ...float64) report.File {
 		var f report.File
--- a/lab/report/result.go
+++ b/lab/report/result.go
@@ -17,7 +17,8 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Result holds the figures of one run. Partners, clients and the agent are simulated by the laboratory.
+// Result holds the figures of one run with simulated partners, clients and agents. EndedAt is in seconds since the start of the
+// run.
 type Result struct {
 	Scenario    string            `json:"scenario"`
 	Title       string            `json:"title"`
@@ -56,14 +57,14 @@
 	Throttled   int `json:"turned_away"`
 	Wasted      int `json:"wasted"` // pushes that were or may have been executed and did not deliver
 	Connections int `json:"connections"`
-	MaxOwed     int `json:"most_owed"` // largest number of accepted notifications without a final answer
+	MaxOwed     int `json:"most_owed"` // largest number of accepted tries without a final answer at the end of a step of the series
 }
 
 // Figures are the values by which runs are compared. Times are in seconds.
 type Figures struct {
 	Benefit            float64 `json:"benefit"` // benefit delivered over benefit planned
 	AcceptedRate       float64 `json:"taken_per_s"`
-	AnswerP99          float64 `json:"answer_p99_s"` // from the planned time to the client's answer, for accepted tries
+	AnswerP99          float64 `json:"answer_p99_s"` // from the planned time to the answer that the client gets, for accepted tries
 	PushP50            float64 `json:"push_p50_s"`   // from the hand-in to the last byte of the first push
 	PushP99            float64 `json:"push_p99_s"`
 	PushP999           float64 `json:"push_p999_s"`
@@ -72,7 +73,7 @@
 	PushesPerDelivered float64 `json:"pushes_per_delivered"`
 	CPUPerAccepted     float64 `json:"cpu_s_per_taken"`
 	MemoryPeak         float64 `json:"memory_peak_bytes"` // of the dispatcher with the largest peak
-	MemoryPerOwed      float64 `json:"memory_per_owed"`   // its growth in memory over its part of the largest number owed
+	MemoryPerOwed      float64 `json:"memory_per_owed"`   // its growth in memory over the largest number owed per dispatcher
 }
 
 // Topic holds the figures of one topic type.
@@ -120,7 +121,7 @@
 	PushesInFlight []float64 `json:"pushes_out"`
 }
 
-// Band is the time span of a trouble. The page template reads its fields by name.
+// Band is the time span of a trouble, in seconds since the start of the run. The page template reads its fields by name.
 type Band struct {
 	Kind  string  `json:"kind"`
 	From  float64 `json:"from"`
@@ -128,15 +129,15 @@
 	Dests []int   `json:"destinations,omitempty"` // affected partners
 }
 
-// RunData is the input for the figures of a run.
+// RunData is the input from which New computes the figures of a run.
 type RunData struct {
 	World    *scenario.World
 	Journal  *record.Journal
 	EndedAt  float64
-	HandedIn int
-	Planned  int
+	HandedIn int // notifications of the load plan that were handed in
+	Planned  int // notifications of the load plan
 	Lateness load.Lateness
-	Usage    []fleet.Usage
+	Usage    []fleet.Usage // by dispatcher
 }
 
 const (
@@ -148,6 +149,7 @@
 // latencies is a histogram of latencies.
 type latencies struct{ *hdrhistogram.Histogram }
 
+// newLatencies returns an empty histogram.
 func newLatencies() latencies {
 	return latencies{hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
 }
@@ -202,7 +204,7 @@
 	return s.list
 }
 
-// outcomeIndex holds the outcomes of hand-ins by their IDs.
+// outcomeIndex holds the outcomes of hand-ins, by their IDs. Times are in seconds since the start of the run.
 type outcomeIndex struct {
 	delivered map[string]float64 // when its first delivery ended
 	firstPush map[string]float64 // when the last byte of its first push arrived
@@ -354,15 +356,15 @@
 		AnswerP99: answers.percentile(99), PushP50: pushes.percentile(50), PushP99: pushes.percentile(99), PushP999: pushes.percentile(99.9),
 		DeliveredP50: deliveries.percentile(50), DeliveredP99: deliveries.percentile(99),
 		PushesPerDelivered: ratio(float64(r.Totals.Pushes), float64(r.Totals.Delivered))}
-	cpu, maxPeak, atRest := 0.0, 0, 0
+	cpu, peakBytes, idleBytes := 0.0, 0, 0
 	for _, u := range run.Usage {
 		cpu += u.CPUSeconds
-		if u.PeakBytes > maxPeak {
-			maxPeak, atRest = u.PeakBytes, u.IdleBytes
+		if u.PeakBytes > peakBytes {
+			peakBytes, idleBytes = u.PeakBytes, u.IdleBytes
 		}
 	}
-	r.Figures.CPUPerAccepted, r.Figures.MemoryPeak = ratio(cpu, float64(r.Totals.Accepted)), float64(maxPeak)
-	r.Figures.MemoryPerOwed = ratio(float64(maxPeak-atRest), float64(r.Totals.MaxOwed)/max(1, float64(len(run.Usage))))
+	r.Figures.CPUPerAccepted, r.Figures.MemoryPeak = ratio(cpu, float64(r.Totals.Accepted)), float64(peakBytes)
+	r.Figures.MemoryPerOwed = ratio(float64(peakBytes-idleBytes), float64(r.Totals.MaxOwed)/max(1, float64(len(run.Usage))))
 	return r
 }
 
--- a/lab/report/text.go
+++ b/lab/report/text.go
@@ -28,7 +28,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Read reads a file that Write has written.
+// Read reads a file that Write has written. A file without runs is an error.
 func Read(path string) (File, error) {
 	var f File
 	text, err := os.ReadFile(path)
@@ -121,7 +121,7 @@
 	MeanB       float64 `json:"b"`
 	NoiseA      float64 `json:"noise_a"` // standard deviation over the repeats
 	NoiseB      float64 `json:"noise_b"`
-	BeyondNoise bool    `json:"beyond_noise"` // the difference exceeds twice the larger standard deviation; always false for single runs
+	BeyondNoise bool    `json:"beyond_noise"` // the difference exceeds twice the larger noise; false if either side has a single run
 }
 
 // Compare returns the differences in all figures of the scenarios that both files contain.
--- a/lab/rules/flow.go
+++ b/lab/rules/flow.go
@@ -29,9 +29,8 @@
 
 // checkRecovery checks one destination after one outage and reports at most one overload.
 func (c *checker) checkRecovery(partner scenario.Partner, outage scenario.Fault) {
-	detector := behaviour.OverloadDetector{OverloadFactor: c.world.Recovery.OverloadFactor, Span: c.world.Recovery.OverloadSpan, Capacity: func(now float64) float64 {
-		return partner.Rate * c.world.CapacityShare(partner.Dest, now)
-	}}
+	detector := behaviour.OverloadDetector{OverloadFactor: c.world.Recovery.OverloadFactor, Span: c.world.Recovery.OverloadSpan,
+		Capacity: func(now float64) float64 { return partner.Rate * c.world.CapacityShare(partner.Dest, now) }}
 	var senders []int // the dispatcher of each call since the end of the outage
 	for _, call := range c.journal.Calls {
 		if call.Dest != partner.Dest || call.LastByteAt < outage.End() || call.LastByteAt > outage.End()+c.world.Recovery.WarmUp || c.world.InOutage(partner.Dest, call.LastByteAt) {
@@ -57,9 +56,9 @@
 	}
 }
 
-// sawOutage reports whether the dispatcher's process that runs at now had a call fail or a connection refused in an outage.
-// A process that started later has not seen the outage. The journal has no refused connections, so a dispatcher that had
-// something to push to the destination counts as having tried.
+// sawOutage reports whether the dispatcher's process that runs at the time now had a call fail or a connection refused in an
+// outage. A process that started after the outage had neither. The journal has no refused connections, so a dispatcher counts as
+// refused if it had an accepted notification for the destination during the outage.
 func (c *checker) sawOutage(dispatcher, dest int, outage scenario.Fault, now float64) bool {
 	since := outage.At
 	for _, event := range c.journal.ProcessEvents {
@@ -122,10 +121,10 @@
 	}
 }
 
-// checkToldWaits checks that no call reaches a destination during a told wait.
+// checkToldWaits checks that no dispatcher calls a destination during a told wait that it got, unless its process started since.
 func (c *checker) checkToldWaits() {
 	type pair struct{ dispatcher, dest int }
-	active := map[pair]*record.Call{} // the call whose told wait ends last
+	active := map[pair]*record.Call{} // of the calls so far, the one whose told wait ends last
 	announcing := slices.Clone(c.journal.Calls)
 	announcing = slices.DeleteFunc(announcing, func(call *record.Call) bool { return call.ToldWait <= 0 || call.EndedAt == 0 || call.CallerClosed })
 	slices.SortFunc(announcing, func(a, b *record.Call) int { return cmp.Compare(a.EndedAt, b.EndedAt) })
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -41,12 +41,12 @@
 	timingSlack = 0.05
 	// answerGrace, in seconds after the TTL, is how late a final answer may come before the notification counts as lost.
 	answerGrace = 0.3
-	// restartGrace, in seconds after a dispatcher is ready again, is how late it may give answers that fell due meanwhile.
+	// restartGrace, in seconds after a restarted dispatcher is ready, is how late final answers may come that fell due meanwhile.
 	restartGrace = 1.5
 	// inFlightGrace, in seconds, is the time for a call to reach its endpoint: calls that arrive this soon after a told wait
 	// are allowed, and a hand-in counts as tried in an outage only if it was accepted this long before the outage's end.
 	inFlightGrace = 0.1
-	// maxListDelay, in seconds, is after which a change of the endpoint list counts as received.
+	// maxListDelay, in seconds, is the time after which a dispatcher counts as having received a change of the endpoint list.
 	maxListDelay = 6.0
 	// minAwareShare is the share of the calls in an overload that must come from dispatchers that saw the outage.
 	minAwareShare = 2.0 / 3
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("%s at %.3f s: dispatcher %d %s %s: %s", v.Rule, v.At, v.Dispatcher, v.ID, v.Endpoint, v.Evidence)
 }
 
-// push is one attempt to deliver a notification: its part of a call.
+// push is the part of a call that carries one notification.
 type push struct {
 	*record.Call
 	state record.PushState
@@ -86,7 +86,7 @@
 type checker struct {
 	world      *scenario.World
 	journal    *record.Journal
-	end        float64 // of the run
+	end        float64 // when the run ended
 	topics     map[string]scenario.Topic
 	handIns    map[string]*record.HandIn
 	pushes     map[string][]push // by notification, in the order of their last bytes
@@ -144,9 +144,8 @@
 // outcomeDelivered stands for a final answer that came from an endpoint instead of a notice.
 const outcomeDelivered = "delivered"
 
-// stalledAt reports whether a dispatcher's process was stopped at the given time, or was within timingSlack of a stop: it
-// then did not read an answer in time, and may push a repeatable notification again. Repeats of once-only notifications
-// are still reported by checkDuplicates.
+// stalledAt reports whether a dispatcher's process was stalled within timingSlack of the given time. Such a process may not have
+// read an answer in time, and may push a repeatable notification again. checkDuplicates still reports repeats of once-only ones.
 func (c *checker) stalledAt(dispatcher int, at float64) bool {
 	stalledFrom := math.Inf(1)
 	for _, event := range c.journal.ProcessEvents {
@@ -208,7 +207,7 @@
 	return due
 }
 
-// hasEvent reports whether the journal has an event of one of the kinds for a dispatcher between two times.
+// hasEvent reports whether the journal has an event of one of the kinds for a dispatcher in the interval [from, to].
 func (c *checker) hasEvent(dispatcher int, from, to float64, kinds ...string) bool {
 	return slices.ContainsFunc(c.journal.ProcessEvents, func(event record.ProcessEvent) bool {
 		return event.Dispatcher == dispatcher && event.At >= from && event.At <= to && slices.Contains(kinds, event.Kind)
@@ -292,10 +291,10 @@
 	}
 }
 
-// closedBeforeRead reports whether the caller had closed the connection of the push late before it sent the push other, and
-// the endpoint read late only afterwards, because its bytes had waited in the socket's receive buffer. That is so if the
-// connection was at its end as late was read, and other began within timingSlack of that. Two pushes that are in flight at
-// the same time do not pass: there the connection of the one that is read second stays open.
+// closedBeforeRead reports whether the caller had closed the connection of the push late before it sent the push other, and the
+// endpoint read late only after that, from the socket's receive buffer. This is assumed if the connection of late ended within
+// maxReadToClose of its last byte, and other began to arrive before that byte, at most timingSlack before the end of late. Two
+// pushes in flight together do not meet this, because the connection of the one that is read second is then still open.
 func closedBeforeRead(late, other push) bool {
 	const maxReadToClose = 0.001 // seconds between the last byte and the end of the connection
 	return late.CallerClosed && late.EndedAt > 0 && late.EndedAt-late.LastByteAt <= maxReadToClose && other.FirstByteAt >= late.EndedAt-timingSlack && other.FirstByteAt <= late.LastByteAt
@@ -376,7 +375,7 @@
 	listedAt := max(endpoint.DrainsAt+c.world.ListDelay(endpoint), startedAt) + maxListDelay
 	for _, trouble := range c.world.Troubles {
 		if trouble.Kind == scenario.ListDown && trouble.AppliesToDispatcher(dispatcher) && trouble.At < listedAt && trouble.End() > endpoint.DrainsAt {
-			listedAt = math.Inf(1) // the list could not reach it
+			listedAt = math.Inf(1) // the list may not have reached the dispatcher
 		}
 	}
 	for _, update := range c.journal.ListUpdates {
@@ -384,7 +383,8 @@
 			continue
 		}
 		i := slices.IndexFunc(update.Entries, func(entry record.ListEntry) bool { return entry.ID == endpoint.ID })
-		missing := i < 0 && update.Full && update.At >= endpoint.AddedAt+c.world.ListDelay(endpoint) // no list can name it before that
+		// A list that was sent before the endpoint is listed cannot contain it.
+		missing := i < 0 && update.Full && update.At >= endpoint.AddedAt+c.world.ListDelay(endpoint)
 		if i >= 0 && update.Entries[i].State != "ready" || missing {
 			listedAt = update.At
 		}
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -31,7 +31,8 @@
 	return b
 }
 
-// push adds a call with one notification that ends in the given state.
+// push adds a call with one notification. It lasts from one time to another and ends in the given state; wait is the told wait
+// of its answer in seconds, or 0.
 func (b *journalBuilder) push(id string, from, to float64, state record.PushState, wait float64) *journalBuilder {
 	status := map[record.PushState]int{record.Delivered: 200, record.Throttled: 503, record.Failed: 500}[state]
 	b.AddCall(&record.Call{Endpoint: "e1-0", Dest: 1, IDs: []string{id}, FirstByteAt: from, LastByteAt: from, EndedAt: to, Status: status, ToldWait: wait,
@@ -39,11 +40,13 @@
 	return b
 }
 
+// notice adds a notice.
 func (b *journalBuilder) notice(id, outcome string, at float64) *journalBuilder {
 	b.AddNotice(record.Notice{ID: id, Outcome: outcome, At: at})
 	return b
 }
 
+// event adds an event of the dispatcher's process.
 func (b *journalBuilder) event(kind string, at float64) *journalBuilder {
 	b.AddProcessEvent(record.ProcessEvent{Kind: kind, At: at})
 	return b
@@ -62,6 +65,7 @@
 	return b
 }
 
+// printViolations prints the violations in a journal, or that all rules were kept, after the name of the case.
 func printViolations(name string, b *journalBuilder) {
 	violations := rules.Check(newWorld(), &b.Journal, 30)
 	if len(violations) == 0 {
@@ -72,7 +76,7 @@
 	}
 }
 
-// Each pair of journals is first just within a limit of the rule, then just beyond it.
+// The journals come in pairs: the first keeps a limit of the rule by a small margin, the second exceeds it.
 func Example_lost() {
 	printViolations("answered in time", (&journalBuilder{}).accept("a", "once", "", 1).notice("a", record.GivenUp, 7.34))
 	printViolations("overdue", (&journalBuilder{}).accept("a", "once", "", 1).notice("a", record.GivenUp, 7.36))
@@ -146,8 +150,8 @@
 	// unknown notification: drains at 5.000 s: dispatcher -1 b e1-0: endpoint of another destination, or a notification that no client handed in
 }
 
-// The destination recovers at 2 s with a capacity of 1 call a second. More than twice its capacity in each third of 1.5 s
-// overloads it, which breaks the rule if the dispatcher had seen the outage.
+// The destination recovers at 2 s with a capacity of 1 call per second. It is overloaded by more calls within 1.5 s than twice its
+// capacity, plus a tolerance for random variation. That breaks the rule if the dispatcher had seen the outage.
 func Example_overload() {
 	calls := func(sawOutage bool, gap float64) *journalBuilder {
 		b := &journalBuilder{}
