--- a/lab/agent/agent.go
+++ b/lab/agent/agent.go
@@ -60,8 +60,8 @@
 	gone     = "gone"
 )
 
-// Start starts an agent for each dispatcher. The agent of a dispatcher that a scenario moves is served at both
-// addresses until the old one closes. endpointAddr returns an endpoint's address.
+// Start starts an agent for each dispatcher. If the scenario moves a dispatcher's agent, the agent is served at both addresses
+// until the old one closes. endpointAddr returns an endpoint's address.
 func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network,
 	endpointAddr func(scenario.Endpoint) string) (*Agents, error) {
 	a := &Agents{world: w, journal: j, clock: clock, endpointAddr: endpointAddr, stop: make(chan struct{})}
@@ -137,8 +137,8 @@
 	}
 }
 
-// planVersions computes the versions of the list and when each is published, from the endpoints that appear, drain and
-// go during the run.
+// planVersions computes the versions of the list and when each is published, from the endpoints that are added, drain and are
+// removed during the run.
 func (a *Agents) planVersions() {
 	a.versions = []listVersion{{at: -1}}
 	for _, p := range a.world.Partners {
@@ -151,13 +151,13 @@
 	byTime := map[float64][]server{}
 	for _, p := range a.world.Partners {
 		for _, e := range p.Endpoints {
-			lag := a.world.ListDelay(e)
+			listDelay := a.world.ListDelay(e)
 			if e.DrainsAt > 0 {
-				byTime[e.DrainsAt+lag] = append(byTime[e.DrainsAt+lag], a.entry(p, e, draining))
-				byTime[e.RemovedAt+lag] = append(byTime[e.RemovedAt+lag], a.entry(p, e, gone))
+				byTime[e.DrainsAt+listDelay] = append(byTime[e.DrainsAt+listDelay], a.entry(p, e, draining))
+				byTime[e.RemovedAt+listDelay] = append(byTime[e.RemovedAt+listDelay], a.entry(p, e, gone))
 			}
 			if e.AddedAt > 0 {
-				byTime[e.AddedAt+lag] = append(byTime[e.AddedAt+lag], a.entry(p, e, ready))
+				byTime[e.AddedAt+listDelay] = append(byTime[e.AddedAt+listDelay], a.entry(p, e, ready))
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 	return list{Version: 1, Full: true, Servers: a.versions[0].entries}
 }
 
-// versionAt returns the version of the list at a time of the run. Versions count from 1.
+// versionAt returns the version of the list at the time now. Versions count from 1.
 func (a *Agents) versionAt(now float64) int {
 	version := 1
 	for i, v := range a.versions {
@@ -243,8 +243,8 @@
 	}
 }
 
-// sleep waits for d and reports whether the response is still wanted: it returns false once the request is cancelled or
-// the agents are stopped.
+// sleep waits for d and reports whether the request can still be answered: it returns false once the request is cancelled or the
+// agents are stopped.
 func (a *Agents) sleep(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(max(d, time.Millisecond)):
--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -4,7 +4,7 @@
 	"orchiddrift/lab/scenario"
 )
 
-// repeatNames maps the scenario's repeat kinds to the platform's names.
+// repeatNames maps the repeat policies of a scenario to the platform's names.
 var repeatNames = map[string]string{scenario.Repeatable: "free", scenario.Collapsible: "guarded", scenario.OnceOnly: "single_shot"}
 
 const msPerSecond = 1000
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet starts real dispatcher processes on loopback, stalls, kills and restarts them as a scenario says, and
+// Package fleet starts real dispatcher processes on loopback, stalls, kills and restarts them as a scenario specifies, and
 // measures the resources that they use. It terminates every process that it started.
 package fleet
 
@@ -37,7 +37,7 @@
 	PeakBytes       int     `json:"peak_bytes"`  // largest resident memory
 	IdleBytes       int     `json:"rest_bytes"`  // resident memory when ready, before any load
 	PeakDescriptors int     `json:"descriptors"` // most open file descriptors
-	PeakDiskBytes   int     `json:"disk_bytes"`  // largest size of its state folder, in whole blocks
+	PeakDiskBytes   int     `json:"disk_bytes"`  // largest size of its state directory, in whole blocks
 }
 
 // Fleet runs all dispatchers of a run.
@@ -50,7 +50,7 @@
 	command     Command
 	dir         string // for configurations, logs and profiles
 	processes   []*process
-	running     sync.WaitGroup
+	running     sync.WaitGroup // goroutines that watch processes, inject faults and sample usage
 }
 
 // process is the state of one dispatcher and of its current operating-system process. mu guards the fields below it.
@@ -66,7 +66,7 @@
 	usage         Usage
 	cpuSeconds    float64 // CPU time of the current process at the last sample
 	cpuAtReady    float64 // CPU time of the current process when it became ready
-	limitExceeded [2]bool // the limit of memory or disk was exceeded, and this was recorded
+	limitExceeded [2]bool // for memory and disk: a violation of the limit has been recorded
 }
 
 const (
@@ -286,7 +286,7 @@
 	if !sleep(ctx, f.clock.Until(t.At)) {
 		return
 	}
-	if t.Kind == scenario.MoveAgent { // does not wait for other troubles: the agent moves at this time in any case
+	if t.Kind == scenario.MoveAgent { // without faultMu: the agent moves at this time whatever else happens to the dispatcher
 		f.moveAgent(ctx, p)
 		return
 	}
@@ -385,7 +385,7 @@
 		}
 	}
 	diskBytes := 0
-	files, _ := os.ReadDir(p.stateDir) // an unreadable folder counts as empty
+	files, _ := os.ReadDir(p.stateDir) // an unreadable directory counts as empty
 	for _, file := range files {
 		if info, err := file.Info(); err == nil {
 			const blockSize = 512
--- a/lab/fleet/series.go
+++ b/lab/fleet/series.go
@@ -12,10 +12,10 @@
 
 // The parameters of a series. Signals that are neither stalls nor restarts are kills.
 const (
-	stallShare      = 0.2
-	restartShare    = 0.15
+	stallShare      = 0.2  // of all signals
+	restartShare    = 0.15 // of all signals
 	maxStallSeconds = 0.8
-	maxDownSeconds  = 0.3 // before the dispatcher is started again
+	maxDownSeconds  = 0.3 // pause before the dispatcher is started again
 )
 
 // injectSeries sends one dispatcher a series of signals without waiting until each new process is ready, so that
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -12,9 +12,9 @@
 	"orchiddrift/lab/scenario"
 )
 
-// RoundRobin is a load balancer in front of the dispatchers. It distributes notifications round-robin, sends those of
-// one key to the same dispatcher while that is up, and stops using a dispatcher only some time after it went down, as
-// health checks do.
+// RoundRobin is a load balancer in front of the dispatchers. It distributes notifications round-robin, sends those of one key to
+// the same dispatcher while that is up, and stops using a dispatcher only some time after it went down, as with health checks. mu
+// guards the fields below it.
 type RoundRobin struct {
 	network     loop.Network
 	clock       *loop.Clock
@@ -22,7 +22,7 @@
 	next        atomic.Int64
 	mu          sync.Mutex
 	downSince   []float64 // by dispatcher: time of the first refused connection; 0: up
-	lastTried   []float64 // by dispatcher: time of the last attempt while it is known to be down
+	lastTried   []float64 // by dispatcher: time of the last attempt since it went down
 }
 
 // NewRoundRobin returns a balancer for the dispatchers of a world.
@@ -45,7 +45,7 @@
 		dispatcher := (first + i) % len(r.downSince)
 		if r.downSince[dispatcher] > 0 && now >= r.downSince[dispatcher]+r.detectAfter {
 			if now < r.lastTried[dispatcher]+r.detectAfter/2 {
-				continue // known to be down: tried once per half detection time
+				continue // known to be down: tried once per half of detectAfter
 			}
 			r.lastTried[dispatcher] = now
 		}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -32,7 +32,8 @@
 	Path       string
 }
 
-// Generator simulates the clients of a run. Its exported fields are set before Run is called.
+// Generator simulates the clients of a run. Its exported fields are set before Run is called. mu guards httpClients and
+// waitingByKey.
 type Generator struct {
 	World        *scenario.World
 	Journal      *record.Journal
@@ -44,7 +45,7 @@
 	waitingByKey map[string][]func() // submissions that wait for an earlier one of their key; an entry exists while one runs
 	lateness     *hdrhistogram.Histogram
 	submitted    atomic.Int64
-	body         []byte
+	body         []byte // of all notifications
 }
 
 // Balancer chooses where notifications are submitted.
@@ -58,7 +59,7 @@
 	MarkUp(Target)
 }
 
-// Lateness states by how many seconds the generator itself was behind its plan.
+// Lateness is the distribution of the generator's own delays against the load plan, in seconds.
 type Lateness struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
@@ -71,7 +72,7 @@
 // Submitted returns how many notifications were submitted so far. Retries do not count.
 func (g *Generator) Submitted() int { return int(g.submitted.Load()) }
 
-// Run submits notifications until the plan or ctx ends, and returns once the last submission has ended.
+// Run submits notifications until the load plan is exhausted or ctx is done, and returns once the last submission has ended.
 func (g *Generator) Run(ctx context.Context) {
 	g.httpClients, g.waitingByKey = map[route]*fasthttp.HostClient{}, map[string][]func(){}
 	const maxMicros, significantDigits = 60_000_000, 3 // microseconds
@@ -101,7 +102,8 @@
 		if ctx.Err() != nil {
 			return
 		}
-		_ = g.lateness.RecordValue(max(1, int64((g.Clock.Now()-a.At)*1e6))) // values above the range are dropped; the p99 shows such delays too
+		// Values above the range are dropped. Such delays show in the 99th percentile, as they delay many submissions.
+		_ = g.lateness.RecordValue(max(1, int64((g.Clock.Now()-a.At)*1e6)))
 		g.submitted.Add(1)
 		inFlight.Add(1)
 		g.startInKeyOrder(a, func() {
@@ -141,7 +143,7 @@
 	}()
 }
 
-// orderKey returns the key of an ordered notification, or "" for one without order.
+// orderKey returns the key of a notification of an ordered topic type, or "" for another.
 func orderKey(a scenario.Arrival) string {
 	if a.Key == 0 {
 		return ""
@@ -188,7 +190,7 @@
 			g.Balancer.MarkUp(target)
 		}
 		switch {
-		case failure == whyRefused:
+		case failure == failureRefused:
 			g.Balancer.MarkDown(target)
 			sleep(ctx, 0.01)
 		case failure != "" && topic.Repeat == scenario.OnceOnly:
@@ -212,9 +214,9 @@
 
 // The reasons for which a submission got no answer.
 const (
-	whyRefused = "refused" // the connection was refused
-	whyClosed  = "closed"  // the connection ended before an answer
-	whyTimeout = "late"    // no answer within answerTimeout
+	failureRefused = "refused" // the connection was refused
+	failureClosed  = "closed"  // the connection ended before an answer
+	failureTimeout = "late"    // no answer within answerTimeout
 )
 
 // post sends one submission. It returns the status and the wait in seconds of Retry-After (0: none), or status 0 and
@@ -252,11 +254,11 @@
 		wait, _ := strconv.ParseFloat(string(resp.Header.Peek("Retry-After")), 64) // 0 without the header
 		return resp.StatusCode(), wait, ""
 	case errors.Is(err, fasthttp.ErrTimeout) || errors.Is(err, fasthttp.ErrDialTimeout) || time.Now().After(deadline):
-		return 0, 0, whyTimeout
+		return 0, 0, failureTimeout
 	case isConnRefused(err):
-		return 0, 0, whyRefused
+		return 0, 0, failureRefused
 	}
-	return 0, 0, whyClosed
+	return 0, 0, failureClosed
 }
 
 const msPerSecond = 1000
@@ -267,7 +269,7 @@
 	addr   string
 }
 
-// httpClient returns the HTTP client of a route, which holds its connections: one for each open request, and idle ones.
+// httpClient returns the HTTP client that holds the connections of a route, and creates it if there is none.
 func (g *Generator) httpClient(r route) *fasthttp.HostClient {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/lab/partner/conn.go
+++ b/lab/partner/conn.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// reset closes the connection with a TCP reset, as the kernel does for a process that dies.
+// reset closes the connection with a TCP reset, as the kernel does for a process that is killed.
 func (c *conn) reset() {
 	_ = c.SetLinger(0)
 	c.shutDown()
@@ -222,7 +222,7 @@
 		}
 		return false
 	case behaviour.AnsweredLate:
-		outcome.States = slices.Repeat([]record.PushState{record.Delivered}, len(rec.IDs)) // the response itself says delivered
+		outcome.States = slices.Repeat([]record.PushState{record.Delivered}, len(rec.IDs)) // what the response on the wire reports
 		return c.writeResponse(rec, outcome, func() {})
 	}
 	return c.writeResponse(rec, outcome, func() { rec.Status, rec.ToldWait, rec.States = outcome.Status, outcome.ToldWait, outcome.States }) &&
@@ -346,7 +346,7 @@
 }
 
 // statesAfterTruncation returns the states of the notifications of a call whose response was truncated. A single
-// notification is delivered once the status line was sent in full; for a batch the response says nothing of use.
+// notification is delivered once the status line was sent in full; the states of a batch are unreadable.
 func statesAfterTruncation(rec *record.Call, outcome behaviour.Outcome, encoded EncodedResponse) []record.PushState {
 	if len(rec.IDs) == 1 && outcome.Status == fasthttp.StatusOK && encoded.TruncateAt >= encoded.StatusLineEnd {
 		return outcome.States
--- a/lab/partner/partner.go
+++ b/lab/partner/partner.go
@@ -26,8 +26,8 @@
 	network      loop.Network
 	destinations []*destination
 	listeners    []*listener
-	stop         chan struct{}
-	running      sync.WaitGroup
+	stop         chan struct{}  // closed by Close
+	running      sync.WaitGroup // goroutines of listeners and connections
 	mu           sync.Mutex
 	connCount    int             // connections accepted so far, guarded by mu
 	encoder      ResponseEncoder // nil: responses have a Content-Length
@@ -112,11 +112,11 @@
 	p.running.Wait()
 }
 
-// updateListeners opens and closes listeners at the times at which endpoints appear, go, or start or stop refusing
+// updateListeners opens and closes listeners at the times at which endpoints are added or removed, or start or stop refusing
 // connections.
 func (p *Partners) updateListeners() {
 	var times []float64
-	const settleSeconds = 1e-4 // looks this long after each change, when it has taken effect
+	const settleSeconds = 1e-4 // the listeners are updated this long after each change, when it has taken effect
 	for _, f := range p.world.Faults {
 		if f.Kind == scenario.RefuseConnections {
 			times = append(times, f.At+settleSeconds, f.End()+settleSeconds)
@@ -155,7 +155,7 @@
 	}
 }
 
-// accepting reports whether connections are accepted at a time of the run. A shared listener always accepts them.
+// accepting reports whether the listener accepts connections at the time now. A shared listener always does.
 func (l *listener) accepting(now float64) bool {
 	if l.sole == nil {
 		return true
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// closeAndReset closes the listener and resets its connections, as happens when a process dies.
+// closeAndReset closes the listener and resets its connections, as the kernel does for a process that is killed.
 func (l *listener) closeAndReset() {
 	l.mu.Lock()
 	ln, conns := l.ln, l.conns
