--- a/lab/agent/agent.go
+++ b/lab/agent/agent.go
@@ -34,7 +34,7 @@
 	entries []server
 }
 
-// server is an endpoint in the platform's form.
+// server is the JSON form of an endpoint in the platform's list.
 type server struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -46,7 +46,7 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// list is a version of the list, whole or as a change, in the platform's form.
+// list is the JSON form of the platform's list, either whole or the changes since an earlier version.
 type list struct {
 	Version int      `json:"version"`
 	Full    bool     `json:"full"`
@@ -177,7 +177,7 @@
 	return server{ID: e.ID, Addr: a.endpointAddr(e), Zone: e.Zone, Kind: p.Kind.Name, Cell: e.Dest, State: state, Weight: p.ListedRate()}
 }
 
-// InitialList returns the list that a dispatcher is configured with when it starts, in the platform's form.
+// InitialList returns the list that a dispatcher is configured with when it starts, for encoding as JSON.
 func (a *Agents) InitialList() any {
 	return list{Version: 1, Full: true, Servers: a.versions[0].entries}
 }
--- a/lab/behaviour/strain.go
+++ b/lab/behaviour/strain.go
@@ -3,7 +3,7 @@
 import "orchiddrift/invariant"
 
 // OverloadDetector detects when a destination in slow start is overloaded: when the calls within a sliding window exceed
-// OverloadFactor times its capacity by more than the tolerance for random variation that the service terms allow.
+// OverloadFactor times its capacity by more than the tolerance for random variation that the operators allow.
 type OverloadDetector struct {
 	OverloadFactor float64
 	Span           float64                   // length of the window, in seconds
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -35,7 +35,7 @@
 type Usage struct {
 	CPUSeconds      float64 `json:"cpu_s"`       // CPU time in seconds, without the start of each process
 	PeakBytes       int     `json:"peak_bytes"`  // largest resident memory
-	IdleBytes       int     `json:"rest_bytes"`  // resident memory when ready, before any load
+	IdleBytes       int     `json:"rest_bytes"`  // PeakBytes when last ready; memory without load only if never restarted
 	PeakDescriptors int     `json:"descriptors"` // most open file descriptors
 	PeakDiskBytes   int     `json:"disk_bytes"`  // largest size of its state directory, in whole blocks
 }
@@ -355,7 +355,7 @@
 }
 
 // Stop terminates all dispatchers, kills those that do not exit within stopTimeout, and waits for the fleet's
-// goroutines. It continues stalled processes first, since those would not handle SIGTERM.
+// goroutines. It resumes stalled processes first, since those would not handle SIGTERM.
 func (f *Fleet) Stop() {
 	for _, p := range f.processes {
 		f.signal(p, syscall.SIGCONT, false)
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -53,9 +53,11 @@
 }
 
 const (
-	pollInterval      = 100 * time.Millisecond
-	progressInterval  = time.Second
-	finalAnswerMargin = 0.4 // seconds from the last TTL to the end of the run, by which rules.Lost counts missing final answers as overdue
+	pollInterval     = 100 * time.Millisecond
+	progressInterval = time.Second
+	// finalAnswerMargin, in seconds, is the time from the last TTL to the end of the run. It is longer than the time after the TTL
+	// in which a final answer is still in time, so that rules.Lost can be checked for all notifications.
+	finalAnswerMargin = 0.4
 )
 
 // Run runs a scenario and returns its result and journal. If ctx is cancelled, the result covers the run until then and is marked
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -31,8 +31,8 @@
 	return &RoundRobin{network: network, clock: clock, detectAfter: w.Load.FailureDetectionDelay, downSince: make([]float64, n), lastTried: make([]float64, n)}
 }
 
-// Choose returns the next dispatcher that is not known to be down, or for a key the first such dispatcher from the one
-// that the key hashes to.
+// Choose returns the next dispatcher that is not known to be down, or for a key the first such dispatcher from the one that the
+// key hashes to. A dispatcher that is known to be down is chosen too if it has not been tried for half of detectAfter.
 func (r *RoundRobin) Choose(client int, key string, _, try int) (Target, bool) {
 	first := int(r.next.Add(1))
 	if key != "" {
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -35,10 +35,10 @@
 }
 
 // singleMessageAttempts are the outcomes of attempts in exhaustive series, other than those that need a call with several messages.
-var singleMessageAttempts = []Attempt{RefuseConnection, ConnectLate, ToldWaitOnConnect, RejectBusy, AnswerError, Hang, ResetUnanswered, TruncateRequest, KillMidRequest, KillAfterRequest}
+var singleMessageAttempts = []AttemptOutcome{RefuseConnection, ConnectLate, ToldWaitOnConnect, RejectBusy, AnswerError, Hang, ResetUnanswered, TruncateRequest, KillMidRequest, KillAfterRequest}
 
 // sharedCallAttempts adds the outcomes that differ between the messages of a call.
-var sharedCallAttempts = append([]Attempt{DeliverFirstOnly, FailLastOnly}, singleMessageAttempts...)
+var sharedCallAttempts = append([]AttemptOutcome{DeliverFirstOnly, FailLastOnly}, singleMessageAttempts...)
 
 // planRunner runs plans on all cores and reports the first violations.
 type planRunner struct {
@@ -81,7 +81,7 @@
 		for _, a := range singleMessageAttempts {
 			for _, b := range singleMessageAttempts {
 				for _, c := range singleMessageAttempts {
-					r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []Attempt{a}}, {Attempts: []Attempt{b}}, {Attempts: []Attempt{c}}}}
+					r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []AttemptOutcome{a}}, {Attempts: []AttemptOutcome{b}}, {Attempts: []AttemptOutcome{c}}}}
 				}
 			}
 		}
@@ -96,10 +96,10 @@
 	for _, topic := range Topics {
 		for _, a := range sharedCallAttempts {
 			for _, b := range sharedCallAttempts {
-				r.plans <- Plan{Topic: topic, SharedCalls: true, Processes: []Process{{Attempts: []Attempt{a}}, {Attempts: []Attempt{b}}, {Attempts: []Attempt{RefuseConnection}}}}
-				for first := range listModes {
-					for second := range listModes {
-						r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []Attempt{a}, List: first}, {Attempts: []Attempt{b}, List: second}}}
+				r.plans <- Plan{Topic: topic, SharedCalls: true, Processes: []Process{{Attempts: []AttemptOutcome{a}}, {Attempts: []AttemptOutcome{b}}, {Attempts: []AttemptOutcome{RefuseConnection}}}}
+				for first := range listModeCount {
+					for second := range listModeCount {
+						r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []AttemptOutcome{a}, List: first}, {Attempts: []AttemptOutcome{b}, List: second}}}
 					}
 				}
 			}
@@ -115,7 +115,7 @@
 	for _, topic := range Topics {
 		for part := range 600 {
 			r.plans <- Plan{Topic: topic, ExtraMessagesAt: 0.1, Processes: []Process{
-				{Attempts: []Attempt{Deliver}, DiskFaultAt: 0.05, DiskFaultDuration: 5, FailedWriteBytes: part, Lifetime: 0.4}}}
+				{Attempts: []AttemptOutcome{Deliver}, DiskFaultAt: 0.05, DiskFaultDuration: 5, FailedWriteBytes: part, Lifetime: 0.4}}}
 		}
 	}
 	r.wait()
@@ -145,7 +145,7 @@
 	for _, topic := range Topics {
 		for _, a := range singleMessageAttempts {
 			for _, b := range singleMessageAttempts {
-				r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []Attempt{a}}, {Attempts: []Attempt{b}}}}
+				r.plans <- Plan{Topic: topic, SharedCalls: false, Processes: []Process{{Attempts: []AttemptOutcome{a}}, {Attempts: []AttemptOutcome{b}}}}
 			}
 		}
 	}
@@ -155,9 +155,9 @@
 // Runs longer random series: up to five processes, several outcomes of attempts in each, all list modes, disk faults,
 // graceful stops and unanswered notices.
 func TestRandomSeries(t *testing.T) {
-	attempt := rapid.Map(rapid.IntRange(0, int(attemptKinds)-1), func(i int) Attempt { return Attempt(i) })
+	attempt := rapid.Map(rapid.IntRange(0, int(attemptOutcomeCount)-1), func(i int) AttemptOutcome { return AttemptOutcome(i) })
 	process := rapid.Custom(func(t *rapid.T) Process {
-		p := Process{Attempts: rapid.SliceOfN(attempt, 1, 4).Draw(t, "attempts"), List: ListMode(rapid.IntRange(0, int(listModes)-1).Draw(t, "list")),
+		p := Process{Attempts: rapid.SliceOfN(attempt, 1, 4).Draw(t, "attempts"), List: ListMode(rapid.IntRange(0, int(listModeCount)-1).Draw(t, "list")),
 			GracefulStop: rapid.IntRange(0, 3).Draw(t, "graceful stop") == 0, NoticesUnanswered: rapid.IntRange(0, 3).Draw(t, "notices unanswered") == 0,
 			Lifetime: rapid.Float64Range(0.05, 3).Draw(t, "lifetime")}
 		if rapid.IntRange(0, 2).Draw(t, "kill") == 0 {
@@ -183,7 +183,7 @@
 
 // Guards against a checker that detects nothing: each fault must lead to a violation, and the same plan without it to none.
 func TestPlanted(t *testing.T) {
-	hang, refuse, unanswered := Process{Attempts: []Attempt{Hang}}, Process{Attempts: []Attempt{RefuseConnection}}, Process{Attempts: []Attempt{ResetUnanswered}, NoticesUnanswered: true}
+	hang, refuse, unanswered := Process{Attempts: []AttemptOutcome{Hang}}, Process{Attempts: []AttemptOutcome{RefuseConnection}}, Process{Attempts: []AttemptOutcome{ResetUnanswered}, NoticesUnanswered: true}
 	for name, c := range map[string]struct {
 		fault Fault
 		plan  Plan
@@ -191,7 +191,7 @@
 		"lost record of a call":       {ForgetMayHaveRun, Plan{Topic: "once", Processes: []Process{hang}}},
 		"lost start of the window":    {ForgetMayHaveRun, Plan{Topic: "known", Processes: []Process{hang, refuse, refuse}}},
 		"lost zone of the first call": {ForgetMayHaveRun, Plan{Topic: "zoned", Processes: []Process{hang, refuse}}},
-		"window from the last call":   {WindowFromLastCall, Plan{Topic: "known", Processes: []Process{{Attempts: []Attempt{AnswerError}}, {Attempts: []Attempt{RefuseConnection, AnswerError}, Lifetime: 1}, {Attempts: []Attempt{RefuseConnection}, Lifetime: 0.6}}}},
+		"window from the last call":   {WindowFromLastCall, Plan{Topic: "known", Processes: []Process{{Attempts: []AttemptOutcome{AnswerError}}, {Attempts: []AttemptOutcome{RefuseConnection, AnswerError}, Lifetime: 1}, {Attempts: []AttemptOutcome{RefuseConnection}, Lifetime: 0.6}}}},
 		"lost notice":                 {LoseNotice, Plan{Topic: "once", Processes: []Process{unanswered}}},
 		"duplicate calls":             {DuplicateCalls, Plan{Topic: "free", Processes: nil}},
 	} {
--- a/lab/modelcheck/plan.go
+++ b/lab/modelcheck/plan.go
@@ -24,13 +24,13 @@
 	timingSlack = 0.05
 )
 
-// Attempt is the outcome of an attempt to call an endpoint.
-type Attempt int
+// AttemptOutcome is the outcome of an attempt to call an endpoint.
+type AttemptOutcome int
 
 // The outcomes of an attempt.
 const (
 	// RefuseConnection refuses the connection.
-	RefuseConnection Attempt = iota
+	RefuseConnection AttemptOutcome = iota
 	// ConnectLate delays the connection, then answers the call as delivered.
 	ConnectLate
 	// ToldWaitOnConnect sends the process a told wait of the destination while the connection is being set up.
@@ -55,12 +55,12 @@
 	FailLastOnly
 	// Deliver answers the call as delivered.
 	Deliver
-	// attemptKinds is the number of outcomes.
-	attemptKinds
+	// attemptOutcomeCount is the number of outcomes.
+	attemptOutcomeCount
 )
 
 // String returns the name of the outcome.
-func (a Attempt) String() string {
+func (a AttemptOutcome) String() string {
 	return [...]string{"refuse", "connect late", "told wait on connect", "busy", "fail", "hang", "reset", "truncate request", "kill mid-request",
 		"kill after request", "deliver first only", "fail last only", "serve"}[a]
 }
@@ -80,14 +80,14 @@
 	ListWithoutFirst
 	// ListFirstMoved sends a list with the first endpoint in the other zone.
 	ListFirstMoved
-	// listModes is the number of modes.
-	listModes
+	// listModeCount is the number of modes.
+	listModeCount
 )
 
 // Process is one process of a series. An operation is something that is visible outside the process: a write or removal of
 // a file, a connection, a write to it, an answer to a client, or a notice.
 type Process struct {
-	Attempts          []Attempt // outcomes of its attempts in order; the last one applies to all that follow
+	Attempts          []AttemptOutcome // outcomes of its attempts in order; the last one applies to all that follow
 	List              ListMode
 	KillAtOp          int     // number of the operation at which it is killed, counted from 1; 0: none
 	TornWriteBytes    int     // bytes of a write that reach the file although the process is killed at it
--- a/lab/modelcheck/process.go
+++ b/lab/modelcheck/process.go
@@ -69,7 +69,7 @@
 }
 
 // nextAttempt returns the planned outcome of the next attempt.
-func (p *process) nextAttempt() Attempt {
+func (p *process) nextAttempt() AttemptOutcome {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	attempt := p.plan.Attempts[min(p.attemptCount, len(p.plan.Attempts)-1)]
@@ -169,12 +169,12 @@
 		_ = remote.Close()
 		return nil, errRefused
 	}
-	w := &processConn{Conn: local, process: p, attempt: attempt}
+	pc := &processConn{Conn: local, process: p, attempt: attempt}
 	if p.world.fault == DuplicateCalls {
-		w.duplicate = p.openDuplicate(addr)
+		pc.duplicate = p.openDuplicate(addr)
 	}
-	go p.world.serve(p, addr, remote, attempt, w)
-	return w, nil
+	go p.world.serve(p, addr, remote, attempt, pc)
+	return pc, nil
 }
 
 // openDuplicate opens a second connection to an endpoint, for the fault DuplicateCalls.
@@ -191,60 +191,60 @@
 type processConn struct {
 	net.Conn
 	process   *process
-	attempt   Attempt
+	attempt   AttemptOutcome
 	duplicate net.Conn // connection that gets a copy of all writes; nil for none
 	mu        sync.Mutex
 	calls     []*call // calls that arrived on the connection
 }
 
 // addCall records a call that arrived on the connection.
-func (w *processConn) addCall(c *call) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.calls = append(w.calls, c)
+func (pc *processConn) addCall(c *call) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	pc.calls = append(pc.calls, c)
 }
 
 // errReset is the error of a write to a reset connection.
 var errReset = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", syscall.ECONNRESET)}
 
 // Write sends b with the planned outcome of the attempt, unless the process is killed.
-func (w *processConn) Write(b []byte) (int, error) {
-	if !w.process.beginOperation() {
+func (pc *processConn) Write(b []byte) (int, error) {
+	if !pc.process.beginOperation() {
 		return 0, errReset
 	}
 	half := b[:len(b)/2]
-	switch w.attempt {
+	switch pc.attempt {
 	case TruncateRequest:
-		n, _ := w.Conn.Write(half)
-		_ = w.Conn.Close()
+		n, _ := pc.Conn.Write(half)
+		_ = pc.Conn.Close()
 		return n, errReset
 	case KillMidRequest:
-		_, _ = w.Conn.Write(half)
-		w.process.kill()
+		_, _ = pc.Conn.Write(half)
+		pc.process.kill()
 		return 0, errReset
 	}
-	if w.duplicate != nil {
-		_, _ = w.duplicate.Write(b)
+	if pc.duplicate != nil {
+		_, _ = pc.duplicate.Write(b)
 		time.Sleep(time.Millisecond) // until the endpoint has read the copy, which it does not answer
 	}
-	return w.Conn.Write(b)
+	return pc.Conn.Write(b)
 }
 
 // Close closes the connection in both directions. The calls on it end at this moment for the process, not when the endpoint
 // detects it.
-func (w *processConn) Close() error {
-	w.mu.Lock()
-	w.process.world.checker.callsAbandoned(w.calls)
-	w.mu.Unlock()
-	if w.duplicate != nil {
-		_ = w.duplicate.Close()
+func (pc *processConn) Close() error {
+	pc.mu.Lock()
+	pc.process.world.checker.callsAbandoned(pc.calls)
+	pc.mu.Unlock()
+	if pc.duplicate != nil {
+		_ = pc.duplicate.Close()
 	}
-	return w.Conn.Close()
+	return pc.Conn.Close()
 }
 
 // SyscallConn returns errors.ErrUnsupported, as there is no file descriptor. The dispatcher then cannot check an idle
 // connection and does not reuse it.
-func (w *processConn) SyscallConn() (syscall.RawConn, error) { return nil, errors.ErrUnsupported }
+func (pc *processConn) SyscallConn() (syscall.RawConn, error) { return nil, errors.ErrUnsupported }
 
 // platform simulates the platform's endpoint list and its answers to notices.
 type platform struct{ process *process }
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -63,7 +63,7 @@
 	if topic.Repeat == decide.Collapsible {
 		w.checker.topic.window = topic.DedupWindow
 	}
-	series := append(append([]Process{}, plan.Processes...), Process{Attempts: []Attempt{Deliver}})
+	series := append(append([]Process{}, plan.Processes...), Process{Attempts: []AttemptOutcome{Deliver}})
 	for i, p := range series {
 		w.folder = w.folder.Restart()
 		operations = append(operations, w.runProcess(p, plan, i == 0, i == len(series)-1))
@@ -260,7 +260,7 @@
 }
 
 // serve runs an endpoint's end of a connection.
-func (w *world) serve(p *process, endpoint string, conn net.Conn, attempt Attempt, caller *processConn) {
+func (w *world) serve(p *process, endpoint string, conn net.Conn, attempt AttemptOutcome, caller *processConn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -308,11 +308,11 @@
 }
 
 // answerStatus maps outcomes to the status of the answer; the other outcomes send no answer.
-var answerStatus = map[Attempt]int{RejectBusy: http.StatusServiceUnavailable, AnswerError: http.StatusInternalServerError, ConnectLate: http.StatusOK,
+var answerStatus = map[AttemptOutcome]int{RejectBusy: http.StatusServiceUnavailable, AnswerError: http.StatusInternalServerError, ConnectLate: http.StatusOK,
 	ToldWaitOnConnect: http.StatusOK, DeliverFirstOnly: http.StatusOK, FailLastOnly: http.StatusInternalServerError, Deliver: http.StatusOK}
 
 // respond applies the planned outcome to a complete call, and reports whether the connection stays usable.
-func (w *world) respond(p *process, conn net.Conn, ids []string, calls map[string]*call, attempt Attempt) bool {
+func (w *world) respond(p *process, conn net.Conn, ids []string, calls map[string]*call, attempt AttemptOutcome) bool {
 	status := answerStatus[attempt]
 	if attempt == KillAfterRequest {
 		p.kill()
@@ -335,7 +335,7 @@
 }
 
 // respondShared answers a call with several messages, with a state for each.
-func (w *world) respondShared(conn net.Conn, ids []string, calls map[string]*call, attempt Attempt) bool {
+func (w *world) respondShared(conn net.Conn, ids []string, calls map[string]*call, attempt AttemptOutcome) bool {
 	type line struct {
 		ID    string `json:"id"`
 		State string `json:"state"`
--- a/lab/partner/conn.go
+++ b/lab/partner/conn.go
@@ -43,6 +43,7 @@
 	malformed bool // the request cannot be parsed, or names a destination that this listener does not serve
 }
 
+// newConn returns a connection that l has accepted. id is its number among the connections of the run.
 func newConn(l *listener, c *net.TCPConn, id int) *conn {
 	return &conn{TCPConn: c, listener: l, id: id, calls: make(chan *inboundCall, 1), peerClosed: make(chan struct{}),
 		closed: make(chan struct{})}
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -17,9 +17,12 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
+// page is the text of pageTemplate.
+//
 //go:embed report.html
 var page string
 
+// pageTemplate is the template of the report page.
 var pageTemplate = template.Must(template.New("report").Parse(page))
 
 // chart is a chart on the report page. The page template reads its fields by name.
@@ -91,9 +94,9 @@
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 80, 70, 255}, color.RGBA{230, 159, 0, 255}}
 
 const (
-	allDests = -1 // as a destination: the chart shows the troubles of all destinations
-	width    = 24 * vg.Centimeter
-	height   = 7 * vg.Centimeter
+	allDests = -1                 // as a destination: the chart shows the troubles of all destinations
+	width    = 24 * vg.Centimeter // of a chart
+	height   = 7 * vg.Centimeter  // of a chart
 )
 
 // draw returns a chart as SVG. The x axis is the time of the run, with the troubles of dest as shaded bands. If logScale is set,
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -42,6 +42,7 @@
 		Usage: []fleet.Usage{{CPUSeconds: 0.4, PeakBytes: 30e6, IdleBytes: 10e6}}})
 }
 
+// The totals and figures follow from the journal alone, and the HTML page has all charts and loads no script.
 func Example_figures() {
 	r := newResult()
 	fmt.Printf("%+v\n", r.Totals)
--- a/lab/report/result.go
+++ b/lab/report/result.go
@@ -42,16 +42,16 @@
 // Totals are the counts of a run.
 type Totals struct {
 	Planned     int `json:"planned"`
-	HandedIn    int `json:"handed_in"`  // notifications of the plan that were handed in
-	Tries       int `json:"tries"`      // hand-ins, retries included
-	Accepted    int `json:"taken"`      // tries accepted by a dispatcher
-	Refused     int `json:"refused"`    // tries answered with a refusal
-	Unanswered  int `json:"unanswered"` // tries without an answer
-	Delivered   int `json:"delivered"`  // notifications of the plan, each counted once
-	Late        int `json:"late"`       // of those delivered, after their objective
-	GivenUp     int `json:"given_up"`
-	HandedBack  int `json:"handed_back"`
-	Unfinished  int `json:"unfinished"` // accepted tries without a final answer at the end of the run
+	HandedIn    int `json:"handed_in"`   // notifications of the plan that were handed in
+	Tries       int `json:"tries"`       // hand-ins, retries included
+	Accepted    int `json:"taken"`       // tries accepted by a dispatcher
+	Refused     int `json:"refused"`     // tries answered with a refusal
+	Unanswered  int `json:"unanswered"`  // tries without an answer
+	Delivered   int `json:"delivered"`   // notifications of the plan, each counted once
+	Late        int `json:"late"`        // of those delivered, after their objective
+	GivenUp     int `json:"given_up"`    // accepted tries that ended with such a notice
+	HandedBack  int `json:"handed_back"` // accepted tries that ended with such a notice
+	Unfinished  int `json:"unfinished"`  // accepted tries without a final answer at the end of the run
 	Calls       int `json:"calls"`
 	Pushes      int `json:"pushes"` // notifications in the calls
 	Throttled   int `json:"turned_away"`
@@ -62,7 +62,7 @@
 
 // Figures are the values by which runs are compared. Times are in seconds.
 type Figures struct {
-	Benefit            float64 `json:"benefit"` // benefit delivered over benefit planned
+	Benefit            float64 `json:"benefit"` // benefit delivered over the benefit of the notifications in Topic.Planned
 	AcceptedRate       float64 `json:"taken_per_s"`
 	AnswerP99          float64 `json:"answer_p99_s"` // from the planned time to the answer that the client gets, for accepted tries
 	PushP50            float64 `json:"push_p50_s"`   // from the hand-in to the last byte of the first push
@@ -73,13 +73,13 @@
 	PushesPerDelivered float64 `json:"pushes_per_delivered"`
 	CPUPerAccepted     float64 `json:"cpu_s_per_taken"`
 	MemoryPeak         float64 `json:"memory_peak_bytes"` // of the dispatcher with the largest peak
-	MemoryPerOwed      float64 `json:"memory_per_owed"`   // its growth in memory over the largest number owed per dispatcher
+	MemoryPerOwed      float64 `json:"memory_per_owed"`   // its growth in memory over MaxOwed divided by the number of dispatchers
 }
 
-// Topic holds the figures of one topic type.
+// Topic holds the figures of one topic type. P50 to P999 are latencies from the planned time, in seconds.
 type Topic struct {
 	Name      string       `json:"name"`
-	Planned   int          `json:"planned"`
+	Planned   int          `json:"planned"` // notifications whose first try was handed in
 	Delivered int          `json:"delivered"`
 	Late      int          `json:"late"`
 	GivenUp   int          `json:"given_up"`
@@ -105,8 +105,8 @@
 	Calls     int       `json:"calls"`
 	Throttled int       `json:"turned_away"`
 	Delivered int       `json:"delivered"`
-	CallRate  []float64 `json:"calls_per_s"`
-	Capacity  []float64 `json:"capacity_per_s"`
+	CallRate  []float64 `json:"calls_per_s"`    // by second of the run
+	Capacity  []float64 `json:"capacity_per_s"` // by second of the run; 0 in an outage
 }
 
 // Series are values over time, one per step. All but Owed and PushesInFlight are rates per second.
@@ -444,6 +444,7 @@
 	return a / b
 }
 
+// sum returns the sum of a list.
 func sum(list []float64) float64 {
 	s := 0.0
 	for _, x := range list {
--- a/lab/report/text.go
+++ b/lab/report/text.go
@@ -54,7 +54,7 @@
 	row := func(name, format string, args ...any) { fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
 	fmt.Fprintf(t, "%s (seed %d, simulated partners and clients, %.1f s)\n\n", r.Title, r.Seed, r.EndedAt)
 	if r.Interrupted {
-		row("interrupted", "the figures cover the part of the run that was played")
+		row("interrupted", "the figures cover the run up to the interruption")
 	}
 	if r.VoidReason != "" {
 		row("void", "%s", r.VoidReason)
@@ -158,13 +158,13 @@
 
 // forScenario returns the runs of one scenario.
 func (f File) forScenario(name string) File {
-	var of File
+	var matching File
 	for _, r := range f.Runs {
 		if r.Scenario == name {
-			of.Runs = append(of.Runs, r)
+			matching.Runs = append(matching.Runs, r)
 		}
 	}
-	return of
+	return matching
 }
 
 // figureValues returns the value of a figure, by its field index, in each run of a file.
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -86,7 +86,7 @@
 type checker struct {
 	world      *scenario.World
 	journal    *record.Journal
-	end        float64 // when the run ended
+	endedAt    float64 // when the run ended
 	topics     map[string]scenario.Topic
 	handIns    map[string]*record.HandIn
 	pushes     map[string][]push // by notification, in the order of their last bytes
@@ -97,7 +97,7 @@
 // Check returns the violations in a run that ended at the given time, ordered by rule, then by time. It sorts the calls of
 // the journal by their last byte.
 func Check(w *scenario.World, j *record.Journal, end float64) []Violation {
-	c := &checker{world: w, journal: j, end: end, topics: map[string]scenario.Topic{}, handIns: map[string]*record.HandIn{},
+	c := &checker{world: w, journal: j, endedAt: end, topics: map[string]scenario.Topic{}, handIns: map[string]*record.HandIn{},
 		pushes: map[string][]push{}, notices: map[string]record.Notice{}}
 	for _, t := range w.Topics {
 		c.topics[t.Name] = t
@@ -178,7 +178,7 @@
 }
 
 // answerDeadline returns the time after which a notification's final answer is overdue. It is later if the dispatcher was
-// terminated, killed or stopped before that, and infinite if the dispatcher did not come back.
+// terminated, killed or stalled before that, and infinite if the dispatcher did not get ready again.
 func (c *checker) answerDeadline(h *record.HandIn) float64 {
 	due, down, stalled := h.ExpiresAt+answerGrace+timingSlack, false, false
 	for _, event := range c.journal.ProcessEvents {
@@ -188,7 +188,7 @@
 		switch event.Kind {
 		case record.Stalled:
 			stalled = true
-		case record.Resumed: // a stopped process can answer nothing until it resumes
+		case record.Resumed: // a stalled process can answer nothing until it resumes
 			if stalled && event.At > h.ExpiresAt {
 				due = max(due, event.At+answerGrace+timingSlack)
 			}
@@ -218,7 +218,7 @@
 func (c *checker) checkLost() {
 	for _, h := range c.journal.HandIns {
 		answeredAt, outcome := c.finalAnswer(h.ID)
-		if deadline := c.answerDeadline(h); h.Accepted() && answeredAt > deadline && deadline <= c.end {
+		if deadline := c.answerDeadline(h); h.Accepted() && answeredAt > deadline && deadline <= c.endedAt {
 			text := "no final answer"
 			if !math.IsInf(answeredAt, 1) {
 				text = fmt.Sprintf("%s at %.3f", outcome, answeredAt)
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// The journals come in pairs: the first keeps a limit of the rule by a small margin, the second exceeds it.
+// An accepted notification gets its final answer in time, with an extension after a restart, and is not pushed after it. Most
+// journals come in pairs: the first keeps a limit by a small margin, the second exceeds it.
 func Example_lost() {
 	printViolations("answered in time", (&journalBuilder{}).accept("a", "once", "", 1).notice("a", record.GivenUp, 7.34))
 	printViolations("overdue", (&journalBuilder{}).accept("a", "once", "", 1).notice("a", record.GivenUp, 7.36))
@@ -104,6 +105,8 @@
 	// not stalled: lost at 2.600 s: dispatcher 0 a e1-0: pushed at 2.600, after it was delivered at 2.000
 }
 
+// A notification is repeated only as far as its topic allows, never while a push is in flight, and never beyond the push limit. One
+// that may have run and is once-only is not handed back.
 func Example_duplicate() {
 	printViolations("throttled", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 1.1, record.Throttled, 0).push("a", 2, 2.1, record.Delivered, 0))
 	printViolations("may have run", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 1.1, record.Failed, 0).push("a", 2, 2.1, record.Throttled, 0).
@@ -131,6 +134,8 @@
 	// push limit: twice at 4.000 s: dispatcher 0 a e1-0: repeatable, pushed at 4.000: push 4 exceeds the limit of 3
 }
 
+// Calls may go to a draining endpoint only for a grace period after the dispatcher received the list. A dispatcher that got no list
+// counts as having received it after 6 s, and one that restarted has to receive it again.
 func Example_draining() {
 	listed := func(b *journalBuilder, state string, at float64) *journalBuilder {
 		b.AddListUpdate(record.ListUpdate{At: at, Entries: []record.ListEntry{{ID: "e0-0", State: state}}})
@@ -177,6 +182,8 @@
 	// overloaded: pushed at 3.400 s: dispatcher 0 c13 e0-0: recovered at 2.000, capacity 2.05 calls/s, got 14 calls in 1.5 s, 14 of them from dispatchers that had seen the outage
 }
 
+// The notifications of a key are pushed in the order in which they were accepted, each after the final answer of the one before and
+// after the cooldown of the key. A notification may be handed back before its turn.
 func Example_order() {
 	twoAccepted := func() *journalBuilder {
 		return (&journalBuilder{}).accept("a", "once", "k", 1).accept("b", "once", "k", 2)
@@ -198,6 +205,7 @@
 	// handed back early: kept
 }
 
+// No call may reach a destination during a told wait, except calls that were already in flight and those of a restarted process.
 func Example_toldWait() {
 	calledAt := func(at float64) *journalBuilder {
 		return (&journalBuilder{}).accept("a", "again", "", 1).accept("b", "again", "", 1).push("a", 1, 1.1, record.Throttled, 2).
@@ -214,6 +222,7 @@
 	// restarted: kept
 }
 
+// An exit that was requested keeps the rule, and an unexpected one breaks it.
 func Example_crash() {
 	printViolations("as requested", (&journalBuilder{}).event(record.Killed, 1).event(record.Exited, 1))
 	crash := &journalBuilder{}
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -123,7 +123,7 @@
 	ServiceTime     float64   `toml:"service"`        // median service time of a call
 	ServiceSigma    float64   `toml:"service_spread"` // standard deviation of the logarithm of the service time; 0: constant
 	MedianSigma     float64   `toml:"pace_spread"`    // standard deviation of the logarithm of the median over the destinations
-	SharedListeners int       `toml:"listeners"`      // listeners shared by the destinations, per endpoint number; 0: one per endpoint
+	SharedListeners int       `toml:"listeners"`      // shared listeners of the destinations, per endpoint number; 0: none are shared
 }
 
 // Load is how notifications arrive.
@@ -166,7 +166,7 @@
 	Drain             = "drain"     // endpoints drain, are removed, and are replaced
 	Kill              = "kill"      // dispatchers get SIGKILL and are started again
 	Restart           = "restart"   // dispatchers get SIGTERM and are started again
-	Stall             = "stall"     // dispatchers are stopped and continued
+	Stall             = "stall"     // dispatchers are suspended with SIGSTOP and resumed with SIGCONT
 	ListDown          = "list-down" // the agent does not answer requests for the list
 	ListSlow          = "list-slow" // the agent delays each answer with the list by the factor, in seconds
 	SignalSeries      = "series"    // dispatchers are killed, terminated and stalled in succession, also while they start
--- a/lab/scenario/world.go
+++ b/lab/scenario/world.go
@@ -313,6 +313,7 @@
 // cumulativeShares are the running sums of a list of shares.
 type cumulativeShares []float64
 
+// newCumulativeShares returns the running sums of shares.
 func newCumulativeShares(shares []float64) cumulativeShares {
 	c := make(cumulativeShares, len(shares))
 	sum := 0.0
--- a/lab/soak/machine.go
+++ b/lab/soak/machine.go
@@ -21,7 +21,7 @@
 const (
 	// seedEnv holds the seed of the soak run.
 	seedEnv = "ORCHIDDRIFT_SOAK_SEED"
-	// folderEnv holds the folder in which the process counts its starts.
+	// folderEnv holds the directory in which the process counts its starts.
 	folderEnv = "ORCHIDDRIFT_SOAK_FOLDER"
 	// clockStepEnv is "no" if the wall clock must not be offset.
 	clockStepEnv = "ORCHIDDRIFT_SOAK_STEPS"
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -27,7 +27,7 @@
 // Options holds the settings of a soak run.
 type Options struct {
 	Command    fleet.Command // starts a dispatcher process that calls RunFaultyDispatcher
-	KeepDir    string        // folder that keeps the journal and the logs; "" for a temporary one
+	KeepDir    string        // directory that keeps the journal and the logs; "" for a temporary one
 	StepClocks bool          // whether the wall clocks of some processes are offset
 }
 
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -18,7 +18,7 @@
 	"orchiddrift/lab/scenario"
 )
 
-// TestMain runs the test binary as a dispatcher with injected faults or with a planted defect if ORCHIDDRIFT_TEST is set to it.
+// TestMain runs the test binary as a dispatcher with injected faults or with a planted defect if ORCHIDDRIFT_TEST names that role.
 func TestMain(m *testing.M) {
 	role, rule, _ := strings.Cut(os.Getenv("ORCHIDDRIFT_TEST"), ":")
 	var err error
