--- a/lab/agent/agent.go
+++ b/lab/agent/agent.go
@@ -62,14 +62,14 @@
 
 // Start starts an agent for each dispatcher. If the scenario moves a dispatcher's agent, the agent is served at both addresses
 // until the old one closes. endpointAddr returns an endpoint's address.
-func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network,
+func Start(world *scenario.World, journal *record.Journal, clock *loop.Clock, network loop.Network,
 	endpointAddr func(scenario.Endpoint) string) (*Agents, error) {
-	a := &Agents{world: w, journal: j, clock: clock, endpointAddr: endpointAddr, stop: make(chan struct{})}
+	a := &Agents{world: world, journal: journal, clock: clock, endpointAddr: endpointAddr, stop: make(chan struct{})}
 	a.planVersions()
-	for i := range w.Dispatchers.Count {
+	for i := range world.Dispatchers.Count {
 		oldServer, err := a.startServer(i, network.AgentAddr(i))
-		if err == nil && slices.ContainsFunc(w.Troubles, a.movesAgentOf(i)) {
-			t := w.Troubles[slices.IndexFunc(w.Troubles, a.movesAgentOf(i))]
+		if err == nil && slices.ContainsFunc(world.Troubles, a.movesAgentOf(i)) {
+			t := world.Troubles[slices.IndexFunc(world.Troubles, a.movesAgentOf(i))]
 			if _, err = a.startServer(i, network.MovedAgentAddr(i)); err == nil {
 				go a.closeOldAddr(oldServer, t)
 			}
--- a/lab/lab.go
+++ b/lab/lab.go
@@ -39,7 +39,7 @@
 type Hooks interface {
 	// BeforeLoad is called when partners, agents and dispatchers are running and before the load starts. It gets the
 	// clients' balancer and returns the one that they use instead.
-	BeforeLoad(ctx context.Context, n loop.Network, j *record.Journal, c *loop.Clock, balancer load.Balancer) (load.Balancer, error)
+	BeforeLoad(ctx context.Context, network loop.Network, journal *record.Journal, clock *loop.Clock, balancer load.Balancer) (load.Balancer, error)
 	// AfterLoad is called when the load is over and the run needs no more final answers, while the dispatchers still run.
 	AfterLoad()
 }
@@ -62,22 +62,22 @@
 
 // Run runs a scenario and returns its result and journal. If ctx is cancelled, the result covers the run until then and is marked
 // as interrupted.
-func Run(ctx context.Context, s *scenario.Scenario, o Options) (*report.Result, *record.Journal, error) {
-	w := scenario.NewWorld(s)
-	j, clock := &record.Journal{}, &loop.Clock{}
-	dir, err := makeDir(o.KeepDir)
+func Run(ctx context.Context, s *scenario.Scenario, options Options) (*report.Result, *record.Journal, error) {
+	world := scenario.NewWorld(s)
+	journal, clock := &record.Journal{}, &loop.Clock{}
+	dir, err := makeDir(options.KeepDir)
 	if err != nil {
 		return nil, nil, err
 	}
-	if o.KeepDir == "" {
+	if options.KeepDir == "" {
 		defer os.RemoveAll(dir)
 	}
-	stateDir, err := os.MkdirTemp(o.StateDir, "orchiddrift-state-")
+	stateDir, err := os.MkdirTemp(options.StateDir, "orchiddrift-state-")
 	if err != nil {
 		return nil, nil, fmt.Errorf("--state: %w", err)
 	}
 	defer os.RemoveAll(stateDir)
-	network := o.Network
+	network := options.Network
 	if network == 0 {
 		var release func()
 		if network, release, err = loop.AcquireNetwork(); err != nil {
@@ -85,23 +85,23 @@
 		}
 		defer release()
 	}
-	partners, err := partner.Start(w, j, clock, network, o.ResponseEncoder)
+	partners, err := partner.Start(world, journal, clock, network, options.ResponseEncoder)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer partners.Close()
-	agents, err := agent.Start(w, j, clock, network, partners.Addr)
+	agents, err := agent.Start(world, journal, clock, network, partners.Addr)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer agents.Close()
 
-	clients := &load.Generator{World: w, Journal: j, Clock: clock, Arrivals: w.Arrivals(), Balancer: load.NewRoundRobin(w, network, clock)}
+	clients := &load.Generator{World: world, Journal: journal, Clock: clock, Arrivals: world.Arrivals(), Balancer: load.NewRoundRobin(world, network, clock)}
 	var dispatchers *fleet.Fleet
-	if o.Direct {
-		clients.Balancer = &load.Direct{World: w, Addr: partners.Addr}
+	if options.Direct {
+		clients.Balancer = &load.Direct{World: world, Addr: partners.Addr}
 	} else {
-		dispatchers, err = fleet.Start(ctx, w, j, clock, network, agents.InitialList(), o.Command, dir, stateDir)
+		dispatchers, err = fleet.Start(ctx, world, journal, clock, network, agents.InitialList(), options.Command, dir, stateDir)
 		if err != nil {
 			dispatchers.Stop()
 			return nil, nil, err
@@ -113,9 +113,9 @@
 	if dispatchers != nil {
 		dispatchers.InjectFaults(runCtx)
 	}
-	go busyDisk(runCtx, w, clock, stateDir)
-	if o.Hooks != nil {
-		if clients.Balancer, err = o.Hooks.BeforeLoad(runCtx, network, j, clock, clients.Balancer); err != nil {
+	go busyDisk(runCtx, world, clock, stateDir)
+	if options.Hooks != nil {
+		if clients.Balancer, err = options.Hooks.BeforeLoad(runCtx, network, journal, clock, clients.Balancer); err != nil {
 			dispatchers.Stop()
 			return nil, nil, err
 		}
@@ -125,10 +125,10 @@
 		clients.Run(runCtx)
 		close(loadDone)
 	}()
-	awaitEnd(ctx, w, j, clock, clients, loadDone, o)
+	awaitEnd(ctx, world, journal, clock, clients, loadDone, options)
 	endedAt := clock.Now()
-	if o.Hooks != nil {
-		o.Hooks.AfterLoad()
+	if options.Hooks != nil {
+		options.Hooks.AfterLoad()
 	}
 	endRun()
 	<-loadDone
@@ -139,30 +139,30 @@
 	}
 
 	var result *report.Result
-	j.WithLock(func() {
-		result = report.New(report.RunData{World: w, Journal: j, EndedAt: endedAt, HandedIn: clients.Submitted(), Planned: clients.Planned(),
+	journal.WithLock(func() {
+		result = report.New(report.RunData{World: world, Journal: journal, EndedAt: endedAt, HandedIn: clients.Submitted(), Planned: clients.Planned(),
 			Lateness: clients.Lateness(), Usage: usage})
-		if !o.Direct {
-			result.Violations = rules.Check(w, j, endedAt)
+		if !options.Direct {
+			result.Violations = rules.Check(world, journal, endedAt)
 		}
 	})
-	result.Direct, result.Interrupted = o.Direct, ctx.Err() != nil
+	result.Direct, result.Interrupted = options.Direct, ctx.Err() != nil
 	if lateness := result.Lateness.P99; s.Load.ClosedLoop == 0 && lateness > s.Load.MaxLateness {
 		result.VoidReason = fmt.Sprintf("load generator was late by %.0f ms at p99, more than the %.0f ms allowed: lower load.rate or free CPU cores",
 			lateness*1e3, s.Load.MaxLateness*1e3)
 	}
-	if o.KeepDir != "" {
-		err = writeJournal(j, filepath.Join(dir, "journal.jsonl"))
+	if options.KeepDir != "" {
+		err = writeJournal(journal, filepath.Join(dir, "journal.jsonl"))
 	}
-	return result, j, err
+	return result, journal, err
 }
 
 // awaitEnd returns when the load is over and all accepted notifications have their final answer, or when the time in which
 // they could get one has passed. It reports progress meanwhile.
-func awaitEnd(ctx context.Context, w *scenario.World, j *record.Journal, clock *loop.Clock, clients *load.Generator,
-	loadDone <-chan struct{}, o Options) {
+func awaitEnd(ctx context.Context, world *scenario.World, journal *record.Journal, clock *loop.Clock, clients *load.Generator,
+	loadDone <-chan struct{}, options Options) {
 	maxTTL := 0.0
-	for _, t := range w.Topics {
+	for _, t := range world.Topics {
 		maxTTL = max(maxTTL, t.TTL)
 	}
 	loadOver := false
@@ -177,14 +177,14 @@
 			loadOver = true
 		default:
 		}
-		if loadOver && (o.Direct || clock.Now() > w.Length+maxTTL+finalAnswerMargin || report.CountOwed(j) == 0 && clock.Now() >= w.Length) {
+		if loadOver && (options.Direct || clock.Now() > world.Length+maxTTL+finalAnswerMargin || report.CountOwed(journal) == 0 && clock.Now() >= world.Length) {
 			return
 		}
-		if o.Progress != nil && time.Since(lastProgress) >= progressInterval {
+		if options.Progress != nil && time.Since(lastProgress) >= progressInterval {
 			lastProgress = time.Now()
-			p := Progress{At: clock.Now(), Length: w.Length, HandedIn: clients.Submitted(), Planned: clients.Planned(), LoadDone: loadOver}
-			j.WithLock(func() { p.Calls, p.Notices = len(j.Calls), len(j.Notices) })
-			o.Progress(p)
+			p := Progress{At: clock.Now(), Length: world.Length, HandedIn: clients.Submitted(), Planned: clients.Planned(), LoadDone: loadOver}
+			journal.WithLock(func() { p.Calls, p.Notices = len(journal.Calls), len(journal.Notices) })
+			options.Progress(p)
 		}
 	}
 }
@@ -210,17 +210,17 @@
 }
 
 // busyDisk writes files to the disk of the dispatchers' state directories and syncs them, during each busy-disk trouble.
-func busyDisk(ctx context.Context, w *scenario.World, clock *loop.Clock, dir string) {
+func busyDisk(ctx context.Context, world *scenario.World, clock *loop.Clock, dir string) {
 	const fileSize, blockSize = 32 << 20, 1 << 20
-	if !slices.ContainsFunc(w.Troubles, func(t scenario.Trouble) bool { return t.Kind == scenario.BusyDisk }) {
+	if !slices.ContainsFunc(world.Troubles, func(t scenario.Trouble) bool { return t.Kind == scenario.BusyDisk }) {
 		return // saves the random data below
 	}
 	data := make([]byte, blockSize)
-	rng := rand.New(rand.NewPCG(w.Seed, 0))
+	rng := rand.New(rand.NewPCG(world.Seed, 0))
 	for i := range data {
 		data[i] = byte(rng.Uint32())
 	}
-	for _, t := range w.Troubles {
+	for _, t := range world.Troubles {
 		if t.Kind != scenario.BusyDisk {
 			continue
 		}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -167,9 +167,10 @@
 	}
 }
 
-// submit submits one notification and retries as its client may: without limit where no connection was established, and
-// up to the configured number of times after a refusal or a missing answer. It records each attempt in the journal.
-func (g *Generator) submit(ctx context.Context, origin int, a scenario.Arrival) {
+// submit submits one notification, by its index in the load plan, and retries as its client may: without limit where no connection
+// was established, and up to the configured number of times after a refusal or a missing answer. It records each submission in the
+// journal.
+func (g *Generator) submit(ctx context.Context, planIndex int, a scenario.Arrival) {
 	topic, planned := g.World.Topics[a.Topic], a.At
 	deadline, againHeader, retries := planned+topic.TTL, "", 0
 	for try := 0; ctx.Err() == nil && g.Clock.Now() < deadline; try++ {
@@ -178,7 +179,7 @@
 			sleep(ctx, g.World.Load.RetryDelay)
 			continue
 		}
-		h := &record.HandIn{ID: fmt.Sprintf("%d-%d-%d", a.Dest, origin, try), PlanIndex: origin, Try: try, Topic: topic.Name,
+		h := &record.HandIn{ID: fmt.Sprintf("%d-%d-%d", a.Dest, planIndex, try), PlanIndex: planIndex, Try: try, Topic: topic.Name,
 			Tenant: g.World.Tenants[a.Tenant].Name, Dest: a.Dest, Key: orderKey(a), Dispatcher: target.Dispatcher,
 			PlannedAt: planned, SentAt: g.Clock.Now(), ExpiresAt: deadline}
 		g.Journal.AddHandIn(h)
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -85,28 +85,28 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // runProcess runs one process to its end and returns the number of its operations.
-func (w *world) runProcess(plan Process, series Plan, first, last bool) int {
-	p := &process{plan: plan, world: w, startedAt: time.Now(), stop: make(chan struct{}), loopDone: make(chan struct{})}
-	lifetime := plan.Lifetime
+func (w *world) runProcess(processPlan Process, seriesPlan Plan, first, last bool) int {
+	p := &process{plan: processPlan, world: w, startedAt: time.Now(), stop: make(chan struct{}), loopDone: make(chan struct{})}
+	lifetime := processPlan.Lifetime
 	if lifetime == 0 {
 		lifetime = DefaultLifetime
 	}
-	if w.start(p, series.SharedCalls) {
+	if w.start(p, seriesPlan.SharedCalls) {
 		w.checker.processReady(w.now())
 		go w.sendList(p)
 		if first {
-			w.handIn(p, series, "m1")
-			w.handIn(p, series, "m2")
+			w.handIn(p, seriesPlan, "m1")
+			w.handIn(p, seriesPlan, "m2")
 		}
-		if first && series.ExtraMessagesAt > 0 {
-			time.Sleep(seconds(series.ExtraMessagesAt))
-			w.handIn(p, series, "m3")
-			w.handIn(p, series, "m4")
+		if first && seriesPlan.ExtraMessagesAt > 0 {
+			time.Sleep(seconds(seriesPlan.ExtraMessagesAt))
+			w.handIn(p, seriesPlan, "m3")
+			w.handIn(p, seriesPlan, "m4")
 		}
 		switch {
 		case last:
 			w.awaitExpiry()
-		case plan.GracefulStop:
+		case processPlan.GracefulStop:
 			w.awaitKill(p, lifetime)
 			w.stopGracefully(p)
 		default:
@@ -151,7 +151,7 @@
 }
 
 // start opens the ledger and starts the event loop. It kills the process and returns false if the ledger cannot be opened.
-func (w *world) start(p *process, shared bool) bool {
+func (w *world) start(p *process, sharedCalls bool) bool {
 	endpoints := directory.New()
 	endpoints.Replace(w.endpoints(ListComplete))
 	openLedger, pending, _, err := ledger.Open(folder{w.folder, p}, ledger.Options{Limit: folderLimit})
@@ -166,7 +166,7 @@
 		allTopics = append(allTopics, t)
 	}
 	batchSize := map[string]int{}
-	if shared {
+	if sharedCalls {
 		batchSize[endpointKind] = 10
 	}
 	module := decide.New(1, endpoints, allTopics, decide.Capacity{MaxCalls: 6, MaxHeld: 20, BatchSize: batchSize}, decide.Routes{},
--- a/lab/partner/conn.go
+++ b/lab/partner/conn.go
@@ -118,8 +118,8 @@
 	return call
 }
 
-// DestFromID returns the destination encoded in a notification id of the laboratory (DEST-ORIGIN-TRY), or -1 if the id
-// has another form.
+// DestFromID returns the destination encoded in a notification id of the laboratory, which has the form DEST-PLANINDEX-TRY, or -1
+// if the id has another form.
 func DestFromID(id string) int {
 	text, _, _ := strings.Cut(id, "-")
 	dest, err := strconv.Atoi(text)
--- a/lab/partner/partner.go
+++ b/lab/partner/partner.go
@@ -69,11 +69,11 @@
 
 // Start listens on the addresses of the endpoints that accept connections at the start of the run. encoder encodes the
 // responses; if it is nil they have a Content-Length.
-func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network, encoder ResponseEncoder) (*Partners, error) {
-	p := &Partners{world: w, journal: j, clock: clock, network: network, stop: make(chan struct{}), encoder: encoder}
+func Start(world *scenario.World, journal *record.Journal, clock *loop.Clock, network loop.Network, encoder ResponseEncoder) (*Partners, error) {
+	p := &Partners{world: world, journal: journal, clock: clock, network: network, stop: make(chan struct{}), encoder: encoder}
 	byListener := map[int]*listener{}
-	for _, spec := range w.Partners {
-		p.destinations = append(p.destinations, &destination{Partner: behaviour.New(w, spec), spec: spec, callsByID: map[string]int{}})
+	for _, spec := range world.Partners {
+		p.destinations = append(p.destinations, &destination{Partner: behaviour.New(world, spec), spec: spec, callsByID: map[string]int{}})
 		for _, e := range spec.Endpoints {
 			l := byListener[e.Listener]
 			if l == nil {
@@ -83,7 +83,7 @@
 				p.listeners = append(p.listeners, l)
 			}
 			l.endpoints[e.Dest] = e
-			if l.sole = nil; !w.SharesListener(e) {
+			if l.sole = nil; !world.SharesListener(e) {
 				l.sole = &e
 			}
 		}
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -16,7 +16,7 @@
 type HandIn struct {
 	ID            string  `json:"id"`
 	PlanIndex     int     `json:"origin"` // index of the notification in the load plan
-	Try           int     `json:"try"`    // number of the try for that notification, from 0
+	Try           int     `json:"try"`    // number of the try, from 0; a try without a usable dispatcher counts but has no record
 	Topic         string  `json:"topic"`
 	Tenant        string  `json:"tenant"`
 	Dest          int     `json:"dest"`
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -20,9 +20,9 @@
 		Topics:   []scenario.Topic{{Name: "t", Objective: 1, TTL: 5, Benefit: 2, LateBenefit: 0.5}},
 		Troubles: []scenario.Trouble{{Kind: scenario.Hang, At: 1, Duration: 1, Destinations: []int{0}}}}
 	j := &record.Journal{}
-	handIn := func(origin, try int, at float64, status int) string {
-		id := fmt.Sprint("0-", origin, "-", try)
-		j.AddHandIn(&record.HandIn{ID: id, PlanIndex: origin, Try: try, Topic: "t", PlannedAt: float64(origin), SentAt: at, AnsweredAt: at + 0.1,
+	handIn := func(planIndex, try int, at float64, status int) string {
+		id := fmt.Sprint("0-", planIndex, "-", try)
+		j.AddHandIn(&record.HandIn{ID: id, PlanIndex: planIndex, Try: try, Topic: "t", PlannedAt: float64(planIndex), SentAt: at, AnsweredAt: at + 0.1,
 			Status: status, ExpiresAt: at + 5})
 		return id
 	}
--- a/lab/report/result.go
+++ b/lab/report/result.go
@@ -252,33 +252,33 @@
 
 // New returns the figures of a run. The journal must not change meanwhile.
 func New(run RunData) *Result {
-	w, j := run.World, run.Journal
-	r := &Result{Scenario: w.Name, Title: w.Title, Seed: w.Seed, EndedAt: run.EndedAt, Lateness: run.Lateness, Dispatchers: run.Usage}
+	world, journal := run.World, run.Journal
+	r := &Result{Scenario: world.Name, Title: world.Title, Seed: world.Seed, EndedAt: run.EndedAt, Lateness: run.Lateness, Dispatchers: run.Usage}
 	r.Totals.Planned, r.Totals.HandedIn = run.Planned, run.HandedIn
 	step := max(0.1, run.EndedAt/120)
-	n := int(run.EndedAt/step) + 1
-	newSeries := func() timeSeries { return timeSeries{step, make([]float64, n)} }
+	stepCount := int(run.EndedAt/step) + 1
+	newSeries := func() timeSeries { return timeSeries{step, make([]float64, stepCount)} }
 	offered, delivered, late, refused, notices, owed, inFlight := newSeries(), newSeries(), newSeries(), newSeries(), newSeries(), newSeries(), newSeries()
 
-	outcomes := readOutcomes(j)
+	outcomes := readOutcomes(journal)
 	topics := map[string]int{}
 	var byTopic []latencies
 	var earned, planned []float64
-	for i, t := range w.Topics {
+	for i, t := range world.Topics {
 		topics[t.Name] = i
 		r.Topics = append(r.Topics, Topic{Name: t.Name})
 		byTopic, earned, planned = append(byTopic, newLatencies()), append(earned, 0), append(planned, 0)
 	}
 	answers, pushes, deliveries := newLatencies(), newLatencies(), newLatencies()
 	deliveredAt := map[int]float64{} // by index in the plan: when the notification was first delivered
-	for _, h := range j.HandIns {
+	for _, h := range journal.HandIns {
 		i := topics[h.Topic]
 		t := &r.Topics[i]
 		r.Totals.Tries++
 		if h.Try == 0 {
 			offered.add(h.PlannedAt, 1)
 			t.Planned++
-			planned[i] += w.Topics[i].Benefit
+			planned[i] += world.Topics[i].Benefit
 		}
 		switch {
 		case h.Accepted():
@@ -310,8 +310,8 @@
 					deliveries.add(latency)
 					byTopic[i].add(latency)
 					delivered.add(at, 1)
-					earned[i] += earnedBenefit(w.Topics[i], latency)
-					if latency > w.Topics[i].Objective {
+					earned[i] += earnedBenefit(world.Topics[i], latency)
+					if latency > world.Topics[i].Objective {
 						r.Totals.Late++
 						t.Late++
 						late.add(at, 1)
@@ -343,16 +343,16 @@
 	}
 	r.Series = Series{step, offered.ratesPerSecond(), delivered.ratesPerSecond(), late.ratesPerSecond(), refused.ratesPerSecond(), notices.ratesPerSecond(), owed.runningSums(), inFlight.runningSums()}
 	r.Totals.MaxOwed = int(slices.Max(r.Series.Owed))
-	for _, t := range w.Troubles {
+	for _, t := range world.Troubles {
 		if !t.AffectsPartners() {
 			r.Bands = append(r.Bands, Band{t.Kind, t.At, max(t.End(), t.At+t.Wait), nil})
 		}
 	}
-	for _, f := range w.Faults {
+	for _, f := range world.Faults {
 		r.Bands = append(r.Bands, Band{f.Kind, f.At, max(f.End(), f.At+f.Wait), slices.Sorted(maps.Keys(f.Dests))})
 	}
 	slices.SortStableFunc(r.Bands, func(a, b Band) int { return cmp.Compare(a.From, b.From) })
-	r.Figures = Figures{Benefit: ratio(sum(earned), sum(planned)), AcceptedRate: float64(r.Totals.Accepted) / min(w.Length, max(run.EndedAt, 1)),
+	r.Figures = Figures{Benefit: ratio(sum(earned), sum(planned)), AcceptedRate: float64(r.Totals.Accepted) / min(world.Length, max(run.EndedAt, 1)),
 		AnswerP99: answers.percentile(99), PushP50: pushes.percentile(50), PushP99: pushes.percentile(99), PushP999: pushes.percentile(99.9),
 		DeliveredP50: deliveries.percentile(50), DeliveredP99: deliveries.percentile(99),
 		PushesPerDelivered: ratio(float64(r.Totals.Pushes), float64(r.Totals.Delivered))}
@@ -370,9 +370,9 @@
 
 // countCalls adds the figures of the calls that reached the partners. It adds pushes in flight to inFlight.
 func (r *Result) countCalls(run RunData, inFlight timeSeries) {
-	w := run.World
-	partners := make([]Partner, len(w.Partners))
-	perDest := make([]timeSeries, len(w.Partners))
+	world := run.World
+	partners := make([]Partner, len(world.Partners))
+	perDest := make([]timeSeries, len(world.Partners))
 	seconds := int(run.EndedAt) + 1
 	conns := map[int]bool{}
 	for _, c := range run.Journal.Calls {
@@ -406,7 +406,7 @@
 	}
 	r.Totals.Connections = len(conns)
 	for i := range partners {
-		partners[i].Dest, partners[i].Kind, partners[i].Rate = i, w.Partners[i].Kind.Name, w.Partners[i].Rate
+		partners[i].Dest, partners[i].Kind, partners[i].Rate = i, world.Partners[i].Kind.Name, world.Partners[i].Rate
 	}
 	slices.SortStableFunc(partners, func(a, b Partner) int { return cmp.Compare(b.Calls, a.Calls) })
 	for _, p := range partners[:min(maxPartners, len(partners))] {
@@ -414,8 +414,8 @@
 			continue
 		}
 		for second := range seconds {
-			capacity := p.Rate * w.CapacityShare(p.Dest, float64(second)+0.5)
-			if w.InOutage(p.Dest, float64(second)+0.5) {
+			capacity := p.Rate * world.CapacityShare(p.Dest, float64(second)+0.5)
+			if world.InOutage(p.Dest, float64(second)+0.5) {
 				capacity = 0
 			}
 			p.Capacity = append(p.Capacity, capacity)
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -96,17 +96,17 @@
 
 // Check returns the violations in a run that ended at the given time, ordered by rule, then by time. It sorts the calls of
 // the journal by their last byte.
-func Check(w *scenario.World, j *record.Journal, end float64) []Violation {
-	c := &checker{world: w, journal: j, endedAt: end, topics: map[string]scenario.Topic{}, handIns: map[string]*record.HandIn{},
+func Check(world *scenario.World, journal *record.Journal, end float64) []Violation {
+	c := &checker{world: world, journal: journal, endedAt: end, topics: map[string]scenario.Topic{}, handIns: map[string]*record.HandIn{},
 		pushes: map[string][]push{}, notices: map[string]record.Notice{}}
-	for _, t := range w.Topics {
+	for _, t := range world.Topics {
 		c.topics[t.Name] = t
 	}
-	for _, h := range j.HandIns {
+	for _, h := range journal.HandIns {
 		c.handIns[h.ID] = h
 	}
-	slices.SortStableFunc(j.Calls, func(a, b *record.Call) int { return cmp.Compare(a.LastByteAt, b.LastByteAt) })
-	for _, call := range j.Calls {
+	slices.SortStableFunc(journal.Calls, func(a, b *record.Call) int { return cmp.Compare(a.LastByteAt, b.LastByteAt) })
+	for _, call := range journal.Calls {
 		for i, id := range call.IDs {
 			p := push{Call: call}
 			if i < len(call.States) {
@@ -115,7 +115,7 @@
 			c.pushes[id] = append(c.pushes[id], p)
 		}
 	}
-	for _, n := range j.Notices {
+	for _, n := range journal.Notices {
 		if _, seen := c.notices[n.ID]; !seen {
 			c.notices[n.ID] = n
 		}
@@ -126,7 +126,7 @@
 	c.checkOverload()
 	c.checkOrder()
 	c.checkToldWaits()
-	for _, event := range j.ProcessEvents {
+	for _, event := range journal.ProcessEvents {
 		if event.Kind == record.Crashed || event.Kind == record.LimitExceeded {
 			c.report(Violation{Rule: Crash, At: event.At, Dispatcher: event.Dispatcher, Evidence: event.Detail})
 		}
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -135,7 +135,8 @@
 }
 
 // Calls may go to a draining endpoint only for a grace period after the dispatcher received the list. A dispatcher that got no list
-// counts as having received it after 6 s, and one that restarted has to receive it again.
+// counts as having received it after 6 s, and one that restarted has to receive it again. The same rule forbids calls with
+// notifications that no client handed in.
 func Example_draining() {
 	listed := func(b *journalBuilder, state string, at float64) *journalBuilder {
 		b.AddListUpdate(record.ListUpdate{At: at, Entries: []record.ListEntry{{ID: "e0-0", State: state}}})
