--- a/lab/agent/agent.go
+++ b/lab/agent/agent.go
@@ -34,7 +34,7 @@
 	entries []server
 }
 
-// server is an endpoint in the platform's form.
+// server is the JSON form of an endpoint in the platform's list.
 type server struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -46,7 +46,7 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// list is a version of the list, whole or as a change, in the platform's form.
+// list is the JSON form of the platform's list, either whole or the changes since an earlier version.
 type list struct {
 	Version int      `json:"version"`
 	Full    bool     `json:"full"`
@@ -60,16 +60,16 @@
 	gone     = "gone"
 )
 
-// Start starts an agent for each dispatcher. The agent of a dispatcher that a scenario moves is served at both
-// addresses until the old one closes. endpointAddr returns an endpoint's address.
-func Start(w *scenario.World, j *record.Journal, clock *loop.Clock, network loop.Network,
+// Start starts an agent for each dispatcher. If the scenario moves a dispatcher's agent, the agent is served at both addresses
+// until the old one closes. endpointAddr returns an endpoint's address.
+func Start(world *scenario.World, journal *record.Journal, clock *loop.Clock, network loop.Network,
 	endpointAddr func(scenario.Endpoint) string) (*Agents, error) {
-	a := &Agents{world: w, journal: j, clock: clock, endpointAddr: endpointAddr, stop: make(chan struct{})}
+	a := &Agents{world: world, journal: journal, clock: clock, endpointAddr: endpointAddr, stop: make(chan struct{})}
 	a.planVersions()
-	for i := range w.Dispatchers.Count {
+	for i := range world.Dispatchers.Count {
 		oldServer, err := a.startServer(i, network.AgentAddr(i))
-		if err == nil && slices.ContainsFunc(w.Troubles, a.movesAgentOf(i)) {
-			t := w.Troubles[slices.IndexFunc(w.Troubles, a.movesAgentOf(i))]
+		if err == nil && slices.ContainsFunc(world.Troubles, a.movesAgentOf(i)) {
+			t := world.Troubles[slices.IndexFunc(world.Troubles, a.movesAgentOf(i))]
 			if _, err = a.startServer(i, network.MovedAgentAddr(i)); err == nil {
 				go a.closeOldAddr(oldServer, t)
 			}
@@ -137,8 +137,8 @@
 	}
 }
 
-// planVersions computes the versions of the list and when each is published, from the endpoints that appear, drain and
-// go during the run.
+// planVersions computes the versions of the list and when each is published, from the endpoints that are added, drain and are
+// removed during the run.
 func (a *Agents) planVersions() {
 	a.versions = []listVersion{{at: -1}}
 	for _, p := range a.world.Partners {
@@ -151,13 +151,13 @@
 	byTime := map[float64][]server{}
 	for _, p := range a.world.Partners {
 		for _, e := range p.Endpoints {
-			lag := a.world.ListDelay(e)
+			listDelay := a.world.ListDelay(e)
 			if e.DrainsAt > 0 {
-				byTime[e.DrainsAt+lag] = append(byTime[e.DrainsAt+lag], a.entry(p, e, draining))
-				byTime[e.RemovedAt+lag] = append(byTime[e.RemovedAt+lag], a.entry(p, e, gone))
+				byTime[e.DrainsAt+listDelay] = append(byTime[e.DrainsAt+listDelay], a.entry(p, e, draining))
+				byTime[e.RemovedAt+listDelay] = append(byTime[e.RemovedAt+listDelay], a.entry(p, e, gone))
 			}
 			if e.AddedAt > 0 {
-				byTime[e.AddedAt+lag] = append(byTime[e.AddedAt+lag], a.entry(p, e, ready))
+				byTime[e.AddedAt+listDelay] = append(byTime[e.AddedAt+listDelay], a.entry(p, e, ready))
 			}
 		}
 	}
@@ -177,12 +177,12 @@
 	return server{ID: e.ID, Addr: a.endpointAddr(e), Zone: e.Zone, Kind: p.Kind.Name, Cell: e.Dest, State: state, Weight: p.ListedRate()}
 }
 
-// InitialList returns the list that a dispatcher is configured with when it starts, in the platform's form.
+// InitialList returns the list that a dispatcher is configured with when it starts, for encoding as JSON.
 func (a *Agents) InitialList() any {
 	return list{Version: 1, Full: true, Servers: a.versions[0].entries}
 }
 
-// versionAt returns the version of the list at a time of the run. Versions count from 1.
+// versionAt returns the version of the list at the time now. Versions count from 1.
 func (a *Agents) versionAt(now float64) int {
 	version := 1
 	for i, v := range a.versions {
@@ -243,8 +243,8 @@
 	}
 }
 
-// sleep waits for d and reports whether the response is still wanted: it returns false once the request is cancelled or
-// the agents are stopped.
+// sleep waits for d and reports whether the request can still be answered: it returns false once the request is cancelled or the
+// agents are stopped.
 func (a *Agents) sleep(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(max(d, time.Millisecond)):
--- a/lab/load/front.go
+++ b/lab/load/front.go
@@ -12,9 +12,9 @@
 	"orchiddrift/lab/scenario"
 )
 
-// RoundRobin is a load balancer in front of the dispatchers. It distributes notifications round-robin, sends those of
-// one key to the same dispatcher while that is up, and stops using a dispatcher only some time after it went down, as
-// health checks do.
+// RoundRobin is a load balancer in front of the dispatchers. It distributes notifications round-robin, sends those of one key to
+// the same dispatcher while that is up, and stops using a dispatcher only some time after it went down, as with health checks. mu
+// guards the fields below it.
 type RoundRobin struct {
 	network     loop.Network
 	clock       *loop.Clock
@@ -22,7 +22,7 @@
 	next        atomic.Int64
 	mu          sync.Mutex
 	downSince   []float64 // by dispatcher: time of the first refused connection; 0: up
-	lastTried   []float64 // by dispatcher: time of the last attempt while it is known to be down
+	lastTried   []float64 // by dispatcher: time of the last attempt since it went down
 }
 
 // NewRoundRobin returns a balancer for the dispatchers of a world.
@@ -31,8 +31,8 @@
 	return &RoundRobin{network: network, clock: clock, detectAfter: w.Load.FailureDetectionDelay, downSince: make([]float64, n), lastTried: make([]float64, n)}
 }
 
-// Choose returns the next dispatcher that is not known to be down, or for a key the first such dispatcher from the one
-// that the key hashes to.
+// Choose returns the next dispatcher that is not known to be down, or for a key the first such dispatcher from the one that the
+// key hashes to. A dispatcher that is known to be down is chosen too if it has not been tried for half of detectAfter.
 func (r *RoundRobin) Choose(client int, key string, _, try int) (Target, bool) {
 	first := int(r.next.Add(1))
 	if key != "" {
@@ -45,7 +45,7 @@
 		dispatcher := (first + i) % len(r.downSince)
 		if r.downSince[dispatcher] > 0 && now >= r.downSince[dispatcher]+r.detectAfter {
 			if now < r.lastTried[dispatcher]+r.detectAfter/2 {
-				continue // known to be down: tried once per half detection time
+				continue // known to be down: tried once per half of detectAfter
 			}
 			r.lastTried[dispatcher] = now
 		}
--- a/lab/modelcheck/process.go
+++ b/lab/modelcheck/process.go
@@ -13,28 +13,29 @@
 	"orchiddrift/gateway"
 )
 
-// process is a simulated process of the dispatcher. Its operations have an effect until it is killed.
+// process is a simulated process of the dispatcher. Its operations have an effect until it is killed. mu guards opCount,
+// attemptCount, killed and conns, and the bytes left of the first failing write in plan.
 type process struct {
 	plan         Process
 	world        *world
 	startedAt    time.Time
 	runner       *gateway.Runner
-	lock         sync.Mutex
-	ops          int
+	mu           sync.Mutex
+	opCount      int // operations so far
 	attemptCount int // connection attempts so far
 	killed       bool
-	conns        []net.Conn // the endpoints' ends of its connections
-	stop         chan struct{}
+	conns        []net.Conn    // the endpoints' ends of its connections
+	stop         chan struct{} // closed when it is killed
 	loopDone     chan struct{} // closed when its event loop has ended
 }
 
-// beginOperation counts an operation, kills or stops the process if the plan says so, and reports whether the process is
-// alive to perform it.
+// beginOperation counts an operation, kills or stops the process if the plan does so at this operation, and reports whether the
+// process is alive to perform it.
 func (p *process) beginOperation() bool {
-	p.lock.Lock()
-	p.ops++
-	kills, stops := p.ops == p.plan.KillAtOp, p.ops == p.plan.StopAtOp && p.runner != nil
-	p.lock.Unlock()
+	p.mu.Lock()
+	p.opCount++
+	kills, stops := p.opCount == p.plan.KillAtOp, p.opCount == p.plan.StopAtOp && p.runner != nil
+	p.mu.Unlock()
 	if stops {
 		go p.world.stopGracefully(p)
 	}
@@ -46,21 +47,21 @@
 
 // alive reports whether the process has not been killed.
 func (p *process) alive() bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return !p.killed
 }
 
 // kill ends the process at once and closes its connections. Its later operations have no effect.
 func (p *process) kill() {
-	p.lock.Lock()
+	p.mu.Lock()
 	if p.killed {
-		p.lock.Unlock()
+		p.mu.Unlock()
 		return
 	}
 	p.killed = true
 	conns := p.conns
-	p.lock.Unlock()
+	p.mu.Unlock()
 	for _, c := range conns {
 		_ = c.Close()
 	}
@@ -68,19 +69,19 @@
 }
 
 // nextAttempt returns the planned outcome of the next attempt.
-func (p *process) nextAttempt() Attempt {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+func (p *process) nextAttempt() AttemptOutcome {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	attempt := p.plan.Attempts[min(p.attemptCount, len(p.plan.Attempts)-1)]
 	p.attemptCount++
 	return attempt
 }
 
 // takeFailedWriteBytes returns how many bytes of a failing write reach the file: as planned for the first one, none for the
-// others. The caller never writes all bytes, because write(2) would then have succeeded.
+// others. The caller leaves out at least the last byte, because write(2) succeeds if it writes all of them.
 func (p *process) takeFailedWriteBytes() int {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n := p.plan.FailedWriteBytes
 	p.plan.FailedWriteBytes = 0
 	return n
@@ -159,29 +160,29 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	local, remote := net.Pipe()
-	p.lock.Lock()
+	p.mu.Lock()
 	killed := p.killed
 	p.conns = append(p.conns, remote)
-	p.lock.Unlock()
+	p.mu.Unlock()
 	if killed {
 		_ = local.Close()
 		_ = remote.Close()
 		return nil, errRefused
 	}
-	w := &processConn{Conn: local, process: p, attempt: attempt}
+	pc := &processConn{Conn: local, process: p, attempt: attempt}
 	if p.world.fault == DuplicateCalls {
-		w.duplicate = p.openDuplicate(addr)
+		pc.duplicate = p.openDuplicate(addr)
 	}
-	go p.world.serve(p, addr, remote, attempt, w)
-	return w, nil
+	go p.world.serve(p, addr, remote, attempt, pc)
+	return pc, nil
 }
 
 // openDuplicate opens a second connection to an endpoint, for the fault DuplicateCalls.
 func (p *process) openDuplicate(addr string) net.Conn {
 	local, remote := net.Pipe()
-	p.lock.Lock()
+	p.mu.Lock()
 	p.conns = append(p.conns, remote)
-	p.lock.Unlock()
+	p.mu.Unlock()
 	go p.world.serve(p, addr, remote, Hang, &processConn{Conn: local, process: p})
 	return local
 }
@@ -190,60 +191,60 @@
 type processConn struct {
 	net.Conn
 	process   *process
-	attempt   Attempt
+	attempt   AttemptOutcome
 	duplicate net.Conn // connection that gets a copy of all writes; nil for none
-	lock      sync.Mutex
+	mu        sync.Mutex
 	calls     []*call // calls that arrived on the connection
 }
 
 // addCall records a call that arrived on the connection.
-func (w *processConn) addCall(c *call) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.calls = append(w.calls, c)
+func (pc *processConn) addCall(c *call) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	pc.calls = append(pc.calls, c)
 }
 
 // errReset is the error of a write to a reset connection.
 var errReset = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", syscall.ECONNRESET)}
 
 // Write sends b with the planned outcome of the attempt, unless the process is killed.
-func (w *processConn) Write(b []byte) (int, error) {
-	if !w.process.beginOperation() {
+func (pc *processConn) Write(b []byte) (int, error) {
+	if !pc.process.beginOperation() {
 		return 0, errReset
 	}
 	half := b[:len(b)/2]
-	switch w.attempt {
+	switch pc.attempt {
 	case TruncateRequest:
-		n, _ := w.Conn.Write(half)
-		_ = w.Conn.Close()
+		n, _ := pc.Conn.Write(half)
+		_ = pc.Conn.Close()
 		return n, errReset
 	case KillMidRequest:
-		_, _ = w.Conn.Write(half)
-		w.process.kill()
+		_, _ = pc.Conn.Write(half)
+		pc.process.kill()
 		return 0, errReset
 	}
-	if w.duplicate != nil {
-		_, _ = w.duplicate.Write(b)
+	if pc.duplicate != nil {
+		_, _ = pc.duplicate.Write(b)
 		time.Sleep(time.Millisecond) // until the endpoint has read the copy, which it does not answer
 	}
-	return w.Conn.Write(b)
+	return pc.Conn.Write(b)
 }
 
 // Close closes the connection in both directions. The calls on it end at this moment for the process, not when the endpoint
 // detects it.
-func (w *processConn) Close() error {
-	w.lock.Lock()
-	w.process.world.checker.callsAbandoned(w.calls)
-	w.lock.Unlock()
-	if w.duplicate != nil {
-		_ = w.duplicate.Close()
+func (pc *processConn) Close() error {
+	pc.mu.Lock()
+	pc.process.world.checker.callsAbandoned(pc.calls)
+	pc.mu.Unlock()
+	if pc.duplicate != nil {
+		_ = pc.duplicate.Close()
 	}
-	return w.Conn.Close()
+	return pc.Conn.Close()
 }
 
 // SyscallConn returns errors.ErrUnsupported, as there is no file descriptor. The dispatcher then cannot check an idle
 // connection and does not reuse it.
-func (w *processConn) SyscallConn() (syscall.RawConn, error) { return nil, errors.ErrUnsupported }
+func (pc *processConn) SyscallConn() (syscall.RawConn, error) { return nil, errors.ErrUnsupported }
 
 // platform simulates the platform's endpoint list and its answers to notices.
 type platform struct{ process *process }
--- a/lab/partner/conn.go
+++ b/lab/partner/conn.go
@@ -43,6 +43,7 @@
 	malformed bool // the request cannot be parsed, or names a destination that this listener does not serve
 }
 
+// newConn returns a connection that l has accepted. id is its number among the connections of the run.
 func newConn(l *listener, c *net.TCPConn, id int) *conn {
 	return &conn{TCPConn: c, listener: l, id: id, calls: make(chan *inboundCall, 1), peerClosed: make(chan struct{}),
 		closed: make(chan struct{})}
@@ -59,7 +60,7 @@
 	})
 }
 
-// reset closes the connection with a TCP reset, as the kernel does for a process that dies.
+// reset closes the connection with a TCP reset, as the kernel does for a process that is killed.
 func (c *conn) reset() {
 	_ = c.SetLinger(0)
 	c.shutDown()
@@ -117,8 +118,8 @@
 	return call
 }
 
-// DestFromID returns the destination encoded in a notification id of the laboratory (DEST-ORIGIN-TRY), or -1 if the id
-// has another form.
+// DestFromID returns the destination encoded in a notification id of the laboratory, which has the form DEST-PLANINDEX-TRY, or -1
+// if the id has another form.
 func DestFromID(id string) int {
 	text, _, _ := strings.Cut(id, "-")
 	dest, err := strconv.Atoi(text)
@@ -222,7 +223,7 @@
 		}
 		return false
 	case behaviour.AnsweredLate:
-		outcome.States = slices.Repeat([]record.PushState{record.Delivered}, len(rec.IDs)) // the response itself says delivered
+		outcome.States = slices.Repeat([]record.PushState{record.Delivered}, len(rec.IDs)) // what the response on the wire reports
 		return c.writeResponse(rec, outcome, func() {})
 	}
 	return c.writeResponse(rec, outcome, func() { rec.Status, rec.ToldWait, rec.States = outcome.Status, outcome.ToldWait, outcome.States }) &&
@@ -346,7 +347,7 @@
 }
 
 // statesAfterTruncation returns the states of the notifications of a call whose response was truncated. A single
-// notification is delivered once the status line was sent in full; for a batch the response says nothing of use.
+// notification is delivered once the status line was sent in full; the states of a batch are unreadable.
 func statesAfterTruncation(rec *record.Call, outcome behaviour.Outcome, encoded EncodedResponse) []record.PushState {
 	if len(rec.IDs) == 1 && outcome.Status == fasthttp.StatusOK && encoded.TruncateAt >= encoded.StatusLineEnd {
 		return outcome.States
--- a/lab/report/result.go
+++ b/lab/report/result.go
@@ -17,7 +17,8 @@
 	"orchiddrift/lab/scenario"
 )
 
-// Result holds the figures of one run. Partners, clients and the agent are simulated by the laboratory.
+// Result holds the figures of one run with simulated partners, clients and agents. EndedAt is in seconds since the start of the
+// run.
 type Result struct {
 	Scenario    string            `json:"scenario"`
 	Title       string            `json:"title"`
@@ -41,29 +42,29 @@
 // Totals are the counts of a run.
 type Totals struct {
 	Planned     int `json:"planned"`
-	HandedIn    int `json:"handed_in"`  // notifications of the plan that were handed in
-	Tries       int `json:"tries"`      // hand-ins, retries included
-	Accepted    int `json:"taken"`      // tries accepted by a dispatcher
-	Refused     int `json:"refused"`    // tries answered with a refusal
-	Unanswered  int `json:"unanswered"` // tries without an answer
-	Delivered   int `json:"delivered"`  // notifications of the plan, each counted once
-	Late        int `json:"late"`       // of those delivered, after their objective
-	GivenUp     int `json:"given_up"`
-	HandedBack  int `json:"handed_back"`
-	Unfinished  int `json:"unfinished"` // accepted tries without a final answer at the end of the run
+	HandedIn    int `json:"handed_in"`   // notifications of the plan that were handed in
+	Tries       int `json:"tries"`       // hand-ins, retries included
+	Accepted    int `json:"taken"`       // tries accepted by a dispatcher
+	Refused     int `json:"refused"`     // tries answered with a refusal
+	Unanswered  int `json:"unanswered"`  // tries without an answer
+	Delivered   int `json:"delivered"`   // notifications of the plan, each counted once
+	Late        int `json:"late"`        // of those delivered, after their objective
+	GivenUp     int `json:"given_up"`    // accepted tries that ended with such a notice
+	HandedBack  int `json:"handed_back"` // accepted tries that ended with such a notice
+	Unfinished  int `json:"unfinished"`  // accepted tries without a final answer at the end of the run
 	Calls       int `json:"calls"`
 	Pushes      int `json:"pushes"` // notifications in the calls
 	Throttled   int `json:"turned_away"`
 	Wasted      int `json:"wasted"` // pushes that were or may have been executed and did not deliver
 	Connections int `json:"connections"`
-	MaxOwed     int `json:"most_owed"` // largest number of accepted notifications without a final answer
+	MaxOwed     int `json:"most_owed"` // largest number of accepted tries without a final answer at the end of a step of the series
 }
 
 // Figures are the values by which runs are compared. Times are in seconds.
 type Figures struct {
-	Benefit            float64 `json:"benefit"` // benefit delivered over benefit planned
+	Benefit            float64 `json:"benefit"` // benefit delivered over the benefit of the notifications in Topic.Planned
 	AcceptedRate       float64 `json:"taken_per_s"`
-	AnswerP99          float64 `json:"answer_p99_s"` // from the planned time to the client's answer, for accepted tries
+	AnswerP99          float64 `json:"answer_p99_s"` // from the planned time to the answer that the client gets, for accepted tries
 	PushP50            float64 `json:"push_p50_s"`   // from the hand-in to the last byte of the first push
 	PushP99            float64 `json:"push_p99_s"`
 	PushP999           float64 `json:"push_p999_s"`
@@ -72,13 +73,13 @@
 	PushesPerDelivered float64 `json:"pushes_per_delivered"`
 	CPUPerAccepted     float64 `json:"cpu_s_per_taken"`
 	MemoryPeak         float64 `json:"memory_peak_bytes"` // of the dispatcher with the largest peak
-	MemoryPerOwed      float64 `json:"memory_per_owed"`   // its growth in memory over its part of the largest number owed
+	MemoryPerOwed      float64 `json:"memory_per_owed"`   // its growth in memory over MaxOwed divided by the number of dispatchers
 }
 
-// Topic holds the figures of one topic type.
+// Topic holds the figures of one topic type. P50 to P999 are latencies from the planned time, in seconds.
 type Topic struct {
 	Name      string       `json:"name"`
-	Planned   int          `json:"planned"`
+	Planned   int          `json:"planned"` // notifications whose first try was handed in
 	Delivered int          `json:"delivered"`
 	Late      int          `json:"late"`
 	GivenUp   int          `json:"given_up"`
@@ -104,8 +105,8 @@
 	Calls     int       `json:"calls"`
 	Throttled int       `json:"turned_away"`
 	Delivered int       `json:"delivered"`
-	CallRate  []float64 `json:"calls_per_s"`
-	Capacity  []float64 `json:"capacity_per_s"`
+	CallRate  []float64 `json:"calls_per_s"`    // by second of the run
+	Capacity  []float64 `json:"capacity_per_s"` // by second of the run; 0 in an outage
 }
 
 // Series are values over time, one per step. All but Owed and PushesInFlight are rates per second.
@@ -120,7 +121,7 @@
 	PushesInFlight []float64 `json:"pushes_out"`
 }
 
-// Band is the time span of a trouble. The page template reads its fields by name.
+// Band is the time span of a trouble, in seconds since the start of the run. The page template reads its fields by name.
 type Band struct {
 	Kind  string  `json:"kind"`
 	From  float64 `json:"from"`
@@ -128,15 +129,15 @@
 	Dests []int   `json:"destinations,omitempty"` // affected partners
 }
 
-// RunData is the input for the figures of a run.
+// RunData is the input from which New computes the figures of a run.
 type RunData struct {
 	World    *scenario.World
 	Journal  *record.Journal
 	EndedAt  float64
-	HandedIn int
-	Planned  int
+	HandedIn int // notifications of the load plan that were handed in
+	Planned  int // notifications of the load plan
 	Lateness load.Lateness
-	Usage    []fleet.Usage
+	Usage    []fleet.Usage // by dispatcher
 }
 
 const (
@@ -148,6 +149,7 @@
 // latencies is a histogram of latencies.
 type latencies struct{ *hdrhistogram.Histogram }
 
+// newLatencies returns an empty histogram.
 func newLatencies() latencies {
 	return latencies{hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
 }
@@ -202,7 +204,7 @@
 	return s.list
 }
 
-// outcomeIndex holds the outcomes of hand-ins by their IDs.
+// outcomeIndex holds the outcomes of hand-ins, by their IDs. Times are in seconds since the start of the run.
 type outcomeIndex struct {
 	delivered map[string]float64 // when its first delivery ended
 	firstPush map[string]float64 // when the last byte of its first push arrived
@@ -250,33 +252,33 @@
 
 // New returns the figures of a run. The journal must not change meanwhile.
 func New(run RunData) *Result {
-	w, j := run.World, run.Journal
-	r := &Result{Scenario: w.Name, Title: w.Title, Seed: w.Seed, EndedAt: run.EndedAt, Lateness: run.Lateness, Dispatchers: run.Usage}
+	world, journal := run.World, run.Journal
+	r := &Result{Scenario: world.Name, Title: world.Title, Seed: world.Seed, EndedAt: run.EndedAt, Lateness: run.Lateness, Dispatchers: run.Usage}
 	r.Totals.Planned, r.Totals.HandedIn = run.Planned, run.HandedIn
 	step := max(0.1, run.EndedAt/120)
-	n := int(run.EndedAt/step) + 1
-	newSeries := func() timeSeries { return timeSeries{step, make([]float64, n)} }
+	stepCount := int(run.EndedAt/step) + 1
+	newSeries := func() timeSeries { return timeSeries{step, make([]float64, stepCount)} }
 	offered, delivered, late, refused, notices, owed, inFlight := newSeries(), newSeries(), newSeries(), newSeries(), newSeries(), newSeries(), newSeries()
 
-	outcomes := readOutcomes(j)
+	outcomes := readOutcomes(journal)
 	topics := map[string]int{}
 	var byTopic []latencies
 	var earned, planned []float64
-	for i, t := range w.Topics {
+	for i, t := range world.Topics {
 		topics[t.Name] = i
 		r.Topics = append(r.Topics, Topic{Name: t.Name})
 		byTopic, earned, planned = append(byTopic, newLatencies()), append(earned, 0), append(planned, 0)
 	}
 	answers, pushes, deliveries := newLatencies(), newLatencies(), newLatencies()
 	deliveredAt := map[int]float64{} // by index in the plan: when the notification was first delivered
-	for _, h := range j.HandIns {
+	for _, h := range journal.HandIns {
 		i := topics[h.Topic]
 		t := &r.Topics[i]
 		r.Totals.Tries++
 		if h.Try == 0 {
 			offered.add(h.PlannedAt, 1)
 			t.Planned++
-			planned[i] += w.Topics[i].Benefit
+			planned[i] += world.Topics[i].Benefit
 		}
 		switch {
 		case h.Accepted():
@@ -308,8 +310,8 @@
 					deliveries.add(latency)
 					byTopic[i].add(latency)
 					delivered.add(at, 1)
-					earned[i] += earnedBenefit(w.Topics[i], latency)
-					if latency > w.Topics[i].Objective {
+					earned[i] += earnedBenefit(world.Topics[i], latency)
+					if latency > world.Topics[i].Objective {
 						r.Totals.Late++
 						t.Late++
 						late.add(at, 1)
@@ -341,36 +343,36 @@
 	}
 	r.Series = Series{step, offered.ratesPerSecond(), delivered.ratesPerSecond(), late.ratesPerSecond(), refused.ratesPerSecond(), notices.ratesPerSecond(), owed.runningSums(), inFlight.runningSums()}
 	r.Totals.MaxOwed = int(slices.Max(r.Series.Owed))
-	for _, t := range w.Troubles {
+	for _, t := range world.Troubles {
 		if !t.AffectsPartners() {
 			r.Bands = append(r.Bands, Band{t.Kind, t.At, max(t.End(), t.At+t.Wait), nil})
 		}
 	}
-	for _, f := range w.Faults {
+	for _, f := range world.Faults {
 		r.Bands = append(r.Bands, Band{f.Kind, f.At, max(f.End(), f.At+f.Wait), slices.Sorted(maps.Keys(f.Dests))})
 	}
 	slices.SortStableFunc(r.Bands, func(a, b Band) int { return cmp.Compare(a.From, b.From) })
-	r.Figures = Figures{Benefit: ratio(sum(earned), sum(planned)), AcceptedRate: float64(r.Totals.Accepted) / min(w.Length, max(run.EndedAt, 1)),
+	r.Figures = Figures{Benefit: ratio(sum(earned), sum(planned)), AcceptedRate: float64(r.Totals.Accepted) / min(world.Length, max(run.EndedAt, 1)),
 		AnswerP99: answers.percentile(99), PushP50: pushes.percentile(50), PushP99: pushes.percentile(99), PushP999: pushes.percentile(99.9),
 		DeliveredP50: deliveries.percentile(50), DeliveredP99: deliveries.percentile(99),
 		PushesPerDelivered: ratio(float64(r.Totals.Pushes), float64(r.Totals.Delivered))}
-	cpu, maxPeak, atRest := 0.0, 0, 0
+	cpu, peakBytes, idleBytes := 0.0, 0, 0
 	for _, u := range run.Usage {
 		cpu += u.CPUSeconds
-		if u.PeakBytes > maxPeak {
-			maxPeak, atRest = u.PeakBytes, u.IdleBytes
+		if u.PeakBytes > peakBytes {
+			peakBytes, idleBytes = u.PeakBytes, u.IdleBytes
 		}
 	}
-	r.Figures.CPUPerAccepted, r.Figures.MemoryPeak = ratio(cpu, float64(r.Totals.Accepted)), float64(maxPeak)
-	r.Figures.MemoryPerOwed = ratio(float64(maxPeak-atRest), float64(r.Totals.MaxOwed)/max(1, float64(len(run.Usage))))
+	r.Figures.CPUPerAccepted, r.Figures.MemoryPeak = ratio(cpu, float64(r.Totals.Accepted)), float64(peakBytes)
+	r.Figures.MemoryPerOwed = ratio(float64(peakBytes-idleBytes), float64(r.Totals.MaxOwed)/max(1, float64(len(run.Usage))))
 	return r
 }
 
 // countCalls adds the figures of the calls that reached the partners. It adds pushes in flight to inFlight.
 func (r *Result) countCalls(run RunData, inFlight timeSeries) {
-	w := run.World
-	partners := make([]Partner, len(w.Partners))
-	perDest := make([]timeSeries, len(w.Partners))
+	world := run.World
+	partners := make([]Partner, len(world.Partners))
+	perDest := make([]timeSeries, len(world.Partners))
 	seconds := int(run.EndedAt) + 1
 	conns := map[int]bool{}
 	for _, c := range run.Journal.Calls {
@@ -404,7 +406,7 @@
 	}
 	r.Totals.Connections = len(conns)
 	for i := range partners {
-		partners[i].Dest, partners[i].Kind, partners[i].Rate = i, w.Partners[i].Kind.Name, w.Partners[i].Rate
+		partners[i].Dest, partners[i].Kind, partners[i].Rate = i, world.Partners[i].Kind.Name, world.Partners[i].Rate
 	}
 	slices.SortStableFunc(partners, func(a, b Partner) int { return cmp.Compare(b.Calls, a.Calls) })
 	for _, p := range partners[:min(maxPartners, len(partners))] {
@@ -412,8 +414,8 @@
 			continue
 		}
 		for second := range seconds {
-			capacity := p.Rate * w.CapacityShare(p.Dest, float64(second)+0.5)
-			if w.InOutage(p.Dest, float64(second)+0.5) {
+			capacity := p.Rate * world.CapacityShare(p.Dest, float64(second)+0.5)
+			if world.InOutage(p.Dest, float64(second)+0.5) {
 				capacity = 0
 			}
 			p.Capacity = append(p.Capacity, capacity)
@@ -442,6 +444,7 @@
 	return a / b
 }
 
+// sum returns the sum of a list.
 func sum(list []float64) float64 {
 	s := 0.0
 	for _, x := range list {
--- a/lab/report/text.go
+++ b/lab/report/text.go
@@ -28,7 +28,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Read reads a file that Write has written.
+// Read reads a file that Write has written. A file without runs is an error.
 func Read(path string) (File, error) {
 	var f File
 	text, err := os.ReadFile(path)
@@ -54,7 +54,7 @@
 	row := func(name, format string, args ...any) { fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
 	fmt.Fprintf(t, "%s (seed %d, simulated partners and clients, %.1f s)\n\n", r.Title, r.Seed, r.EndedAt)
 	if r.Interrupted {
-		row("interrupted", "the figures cover the part of the run that was played")
+		row("interrupted", "the figures cover the run up to the interruption")
 	}
 	if r.VoidReason != "" {
 		row("void", "%s", r.VoidReason)
@@ -121,7 +121,7 @@
 	MeanB       float64 `json:"b"`
 	NoiseA      float64 `json:"noise_a"` // standard deviation over the repeats
 	NoiseB      float64 `json:"noise_b"`
-	BeyondNoise bool    `json:"beyond_noise"` // the difference exceeds twice the larger standard deviation; always false for single runs
+	BeyondNoise bool    `json:"beyond_noise"` // the difference exceeds twice the larger noise; false if either side has a single run
 }
 
 // Compare returns the differences in all figures of the scenarios that both files contain.
@@ -158,13 +158,13 @@
 
 // forScenario returns the runs of one scenario.
 func (f File) forScenario(name string) File {
-	var of File
+	var matching File
 	for _, r := range f.Runs {
 		if r.Scenario == name {
-			of.Runs = append(of.Runs, r)
+			matching.Runs = append(matching.Runs, r)
 		}
 	}
-	return of
+	return matching
 }
 
 // figureValues returns the value of a figure, by its field index, in each run of a file.
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -31,7 +31,8 @@
 	return b
 }
 
-// push adds a call with one notification that ends in the given state.
+// push adds a call with one notification. It lasts from one time to another and ends in the given state; wait is the told wait
+// of its answer in seconds, or 0.
 func (b *journalBuilder) push(id string, from, to float64, state record.PushState, wait float64) *journalBuilder {
 	status := map[record.PushState]int{record.Delivered: 200, record.Throttled: 503, record.Failed: 500}[state]
 	b.AddCall(&record.Call{Endpoint: "e1-0", Dest: 1, IDs: []string{id}, FirstByteAt: from, LastByteAt: from, EndedAt: to, Status: status, ToldWait: wait,
@@ -39,11 +40,13 @@
 	return b
 }
 
+// notice adds a notice.
 func (b *journalBuilder) notice(id, outcome string, at float64) *journalBuilder {
 	b.AddNotice(record.Notice{ID: id, Outcome: outcome, At: at})
 	return b
 }
 
+// event adds an event of the dispatcher's process.
 func (b *journalBuilder) event(kind string, at float64) *journalBuilder {
 	b.AddProcessEvent(record.ProcessEvent{Kind: kind, At: at})
 	return b
@@ -62,6 +65,7 @@
 	return b
 }
 
+// printViolations prints the violations in a journal, or that all rules were kept, after the name of the case.
 func printViolations(name string, b *journalBuilder) {
 	violations := rules.Check(newWorld(), &b.Journal, 30)
 	if len(violations) == 0 {
@@ -72,7 +76,8 @@
 	}
 }
 
-// Each pair of journals is first just within a limit of the rule, then just beyond it.
+// An accepted notification gets its final answer in time, with an extension after a restart, and is not pushed after it. Most
+// journals come in pairs: the first keeps a limit by a small margin, the second exceeds it.
 func Example_lost() {
 	printViolations("answered in time", (&journalBuilder{}).accept("a", "once", "", 1).notice("a", record.GivenUp, 7.34))
 	printViolations("overdue", (&journalBuilder{}).accept("a", "once", "", 1).notice("a", record.GivenUp, 7.36))
@@ -100,6 +105,8 @@
 	// not stalled: lost at 2.600 s: dispatcher 0 a e1-0: pushed at 2.600, after it was delivered at 2.000
 }
 
+// A notification is repeated only as far as its topic allows, never while a push is in flight, and never beyond the push limit. One
+// that may have run and is once-only is not handed back.
 func Example_duplicate() {
 	printViolations("throttled", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 1.1, record.Throttled, 0).push("a", 2, 2.1, record.Delivered, 0))
 	printViolations("may have run", (&journalBuilder{}).accept("a", "once", "", 1).push("a", 1, 1.1, record.Failed, 0).push("a", 2, 2.1, record.Throttled, 0).
@@ -127,6 +134,9 @@
 	// push limit: twice at 4.000 s: dispatcher 0 a e1-0: repeatable, pushed at 4.000: push 4 exceeds the limit of 3
 }
 
+// Calls may go to a draining endpoint only for a grace period after the dispatcher received the list. A dispatcher that got no list
+// counts as having received it after 6 s, and one that restarted has to receive it again. The same rule forbids calls with
+// notifications that no client handed in.
 func Example_draining() {
 	listed := func(b *journalBuilder, state string, at float64) *journalBuilder {
 		b.AddListUpdate(record.ListUpdate{At: at, Entries: []record.ListEntry{{ID: "e0-0", State: state}}})
@@ -146,8 +156,8 @@
 	// unknown notification: drains at 5.000 s: dispatcher -1 b e1-0: endpoint of another destination, or a notification that no client handed in
 }
 
-// The destination recovers at 2 s with a capacity of 1 call a second. More than twice its capacity in each third of 1.5 s
-// overloads it, which breaks the rule if the dispatcher had seen the outage.
+// The destination recovers at 2 s with a capacity of 1 call per second. It is overloaded by more calls within 1.5 s than twice its
+// capacity, plus a tolerance for random variation. That breaks the rule if the dispatcher had seen the outage.
 func Example_overload() {
 	calls := func(sawOutage bool, gap float64) *journalBuilder {
 		b := &journalBuilder{}
@@ -173,6 +183,8 @@
 	// overloaded: pushed at 3.400 s: dispatcher 0 c13 e0-0: recovered at 2.000, capacity 2.05 calls/s, got 14 calls in 1.5 s, 14 of them from dispatchers that had seen the outage
 }
 
+// The notifications of a key are pushed in the order in which they were accepted, each after the final answer of the one before and
+// after the cooldown of the key. A notification may be handed back before its turn.
 func Example_order() {
 	twoAccepted := func() *journalBuilder {
 		return (&journalBuilder{}).accept("a", "once", "k", 1).accept("b", "once", "k", 2)
@@ -194,6 +206,7 @@
 	// handed back early: kept
 }
 
+// No call may reach a destination during a told wait, except calls that were already in flight and those of a restarted process.
 func Example_toldWait() {
 	calledAt := func(at float64) *journalBuilder {
 		return (&journalBuilder{}).accept("a", "again", "", 1).accept("b", "again", "", 1).push("a", 1, 1.1, record.Throttled, 2).
@@ -210,6 +223,7 @@
 	// restarted: kept
 }
 
+// An exit that was requested keeps the rule, and an unexpected one breaks it.
 func Example_crash() {
 	printViolations("as requested", (&journalBuilder{}).event(record.Killed, 1).event(record.Exited, 1))
 	crash := &journalBuilder{}
