--- a/clock/clock.go
+++ b/clock/clock.go
@@ -36,6 +36,7 @@
 // clockBoottime is CLOCK_BOOTTIME of clock_gettime(2), which is never stepped and includes time in suspend.
 const clockBoottime = 7
 
+// sinceBoot returns the time since boot, including time in suspend.
 func sinceBoot() (time.Duration, error) {
 	var now syscall.Timespec
 	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockBoottime, uintptr(unsafe.Pointer(&now)), 0); errno != 0 {
@@ -57,25 +58,26 @@
 	startedAt   time.Time
 	folder      disk.Folder
 	offsetLine  string // content for the offset file; empty if there is nothing to save
-	sync        bool
+	sync        bool   // flush the offset file to disk after writing it
 }
 
 // Now returns the time in Unix seconds. It is based on the wall clock as it was when the first process since boot opened
 // the clock in this folder.
 func (c *Clock) Now() float64 { return c.baseSeconds + time.Since(c.startedAt).Seconds() }
 
-// Save writes the clock's offset from the time since boot to the folder, unless it is there already or is unknown.
+// Save writes the clock's offset from the time since boot to the folder. It does nothing if Open has read the offset from
+// the folder, or if the offset is unknown.
 func (c *Clock) Save() error {
 	if c.offsetLine == "" {
 		return nil
 	}
-	return writeFile(c.folder, c.offsetLine, c.sync)
+	return writeOffsetFile(c.folder, c.offsetLine, c.sync)
 }
 
 // Open returns the clock of this process. It reads the offset from the time since boot that an earlier process stored in
 // the folder, or stores a new one. If the time since boot is not available, or the offset cannot be read or stored, Open
 // returns both a working clock and an error: a step of the wall clock before the next process starts would then shift that
-// process's clock. Save can be called again to retry a failed write.
+// process's clock. Save can be called to retry a failed write. sync determines whether the offset file is flushed to disk.
 func Open(folder disk.Folder, source Source, sync bool) (*Clock, error) {
 	c := &Clock{startedAt: time.Now(), baseSeconds: float64(source.Wall().UnixNano()) / float64(time.Second), folder: folder, sync: sync}
 	bootID, err := source.BootID()
@@ -94,7 +96,7 @@
 		c.baseSeconds = offset + uptime.Seconds()
 		return c, nil
 	}
-	c.offsetLine = formatLine(bootID, c.baseSeconds-uptime.Seconds())
+	c.offsetLine = formatOffsetLine(bootID, c.baseSeconds-uptime.Seconds())
 	return c, c.Save()
 }
 
@@ -104,22 +106,22 @@
 	if err != nil || !slices.Contains(names, FileName) {
 		return 0, false, err
 	}
-	text, err := readFile(folder)
+	text, err := readOffsetFile(folder)
 	if err != nil {
 		return 0, false, err
 	}
-	offset, known = parseLine(text, bootID)
+	offset, known = parseOffsetLine(text, bootID)
 	return offset, known, nil
 }
 
-// formatLine returns the line stored in the file: the boot ID, the offset in seconds, and a CRC-32 of both.
-func formatLine(bootID string, offset float64) string {
+// formatOffsetLine returns the content of the offset file, a single line: the boot ID, the offset in seconds, and a CRC-32 of both.
+func formatOffsetLine(bootID string, offset float64) string {
 	text := fmt.Sprintf("%s %.9f", bootID, offset)
 	return fmt.Sprintf("%s %08x\n", text, crc32.ChecksumIEEE([]byte(text)))
 }
 
-// parseLine returns the offset from a line. It reports false if the line is torn or of another boot.
-func parseLine(line, bootID string) (float64, bool) {
+// parseOffsetLine returns the offset in seconds from a line, and reports whether the line is complete and of the given boot.
+func parseOffsetLine(line, bootID string) (float64, bool) {
 	fields := strings.Fields(line)
 	if len(fields) != 3 || fields[0] != bootID {
 		return 0, false
@@ -128,13 +130,14 @@
 	if _, err := fmt.Sscanf(fields[1], "%f", &offset); err != nil {
 		return 0, false
 	}
-	return offset, formatLine(bootID, offset) == line
+	return offset, formatOffsetLine(bootID, offset) == line
 }
 
-// maxLineBytes is the size of the read buffer. It exceeds the length of any valid line.
+// maxLineBytes is the size of the buffer for reading the offset file. It exceeds the length of any valid line.
 const maxLineBytes = 256
 
-func readFile(folder disk.Folder) (string, error) {
+// readOffsetFile returns the content of the offset file, up to maxLineBytes.
+func readOffsetFile(folder disk.Folder) (string, error) {
 	f, err := folder.Open(FileName)
 	if err != nil {
 		return "", err
@@ -148,7 +151,8 @@
 	return string(text[:n]), nil
 }
 
-func writeFile(folder disk.Folder, line string, sync bool) error {
+// writeOffsetFile replaces the offset file and, with sync, flushes the file and the folder to disk.
+func writeOffsetFile(folder disk.Folder, line string, sync bool) error {
 	f, err := folder.Create(FileName)
 	if err != nil {
 		return err
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,21 +9,21 @@
 	"orchiddrift/disk/faulty"
 )
 
-// Successive processes on one folder: the clock advances by the time since boot, whatever steps the wall clock makes. It
-// falls back to the wall clock after a reboot, and when the stored offset is torn or could not be written.
+// Successive processes open the clock in one folder: it advances by the time since boot, however the wall clock is stepped.
+// It falls back to the wall clock after a reboot, and when the stored offset is torn or could not be written.
 func TestOpen(t *testing.T) {
 	wall, since, boot := time.Unix(1e9, 0), 5*time.Second, "b1"
-	s := Source{Wall: func() time.Time { return wall }, SinceBoot: func() (time.Duration, error) { return since, nil },
+	source := Source{Wall: func() time.Time { return wall }, SinceBoot: func() (time.Duration, error) { return since, nil },
 		BootID: func() (string, error) { return boot, nil }}
 	folder := faulty.New()
 	for _, step := range []struct {
-		name   string
-		wall   time.Duration // step of the wall clock
-		since  time.Duration // step of the time since boot
-		boot   string
-		before func()
-		want   float64 // the clock's time, in seconds after the first process opened it
-		fails  bool
+		name        string
+		wall        time.Duration // step of the wall clock
+		since       time.Duration // change of the time since boot
+		boot        string
+		before      func()
+		wantSeconds float64 // the clock's time, in seconds after the first process opened it
+		wantErr     bool
 	}{
 		{"first", 0, 0, "b1", func() {}, 0, false},
 		{"wall clock forward", time.Hour, 3 * time.Second, "b1", func() {}, 3, false},
@@ -36,9 +36,9 @@
 	} {
 		wall, since, boot = wall.Add(step.wall), since+step.since, step.boot
 		step.before()
-		c, err := Open(folder, s, false)
-		if got := c.Now() - 1e9; got < step.want || got > step.want+1 || (err != nil) != step.fails {
-			t.Errorf("%s: %.3f, %v; want %.0f", step.name, got, err, step.want)
+		c, err := Open(folder, source, false)
+		if got := c.Now() - 1e9; got < step.wantSeconds || got > step.wantSeconds+1 || (err != nil) != step.wantErr {
+			t.Errorf("%s: %.3f, %v; want %.0f", step.name, got, err, step.wantSeconds)
 		}
 		if folder.WriteErr = nil; err != nil && c.Save() != nil {
 			t.Errorf("%s: retrying Save failed", step.name)
--- a/disk/disk.go
+++ b/disk/disk.go
@@ -11,7 +11,7 @@
 	"syscall"
 )
 
-// Folder is a flat set of files, addressed by name.
+// Folder is a flat set of files, addressed by name. Create truncates an existing file; Open fails if there is none.
 type Folder interface {
 	List() ([]string, error) // the file names, sorted
 	Create(name string) (File, error)
@@ -38,8 +38,8 @@
 // lockFileName is the name of the file that the owning process locks.
 const lockFileName = "lock"
 
-// ErrLocked is returned when another process has locked the directory.
-var ErrLocked = errors.New("another process holds it")
+// ErrLocked is returned by OpenDir when another process has locked the directory.
+var ErrLocked = errors.New("locked by another process")
 
 // OpenDir opens and locks a directory for exclusive use by this process. The operating system releases the lock when the
 // process exits, even on a crash.
@@ -67,7 +67,7 @@
 	return &Dir{path: path}, err
 }
 
-// Close releases the lock.
+// Close releases the lock. It does not close the files of the directory.
 func (d *Dir) Close() error {
 	if d.lock == nil {
 		return nil
@@ -101,6 +101,7 @@
 	return d.open(name, os.O_RDWR)
 }
 
+// open opens a file with the flags of os.OpenFile.
 func (d *Dir) open(name string, flags int) (File, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, name), flags, 0o600)
 	if err != nil {
@@ -109,7 +110,7 @@
 	return file{f}, nil
 }
 
-// Remove removes a file.
+// Remove removes a file. The removal is durable after Sync.
 func (d *Dir) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
 
 // Sync flushes the directory entries to disk.
@@ -121,8 +122,10 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
+// file is an open file of a Dir.
 type file struct{ *os.File }
 
+// Size returns the size of the file in bytes.
 func (f file) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
--- a/disk/faulty/faulty.go
+++ b/disk/faulty/faulty.go
@@ -1,5 +1,5 @@
 // Package faulty provides an in-memory disk.Folder with fault injection for tests: a full disk, short writes, errors, and
-// a crash at a given write, of which any prefix may have been stored.
+// a crash of the process at a given write, of which a prefix of any length is stored.
 package faulty
 
 import (
@@ -16,24 +16,26 @@
 // ErrCrashed is returned by the operation during which the process crashes and by later ones.
 var ErrCrashed = errors.New("crashed")
 
-// Folder is an in-memory folder whose exported fields configure faults and count operations.
+// Folder is an in-memory folder whose exported fields configure faults and count operations. It is not safe for concurrent
+// use.
 type Folder struct {
-	CapacityBytes          int   // total size that files may reach; negative for no limit
-	WriteErr               error // if set, returned by each write
-	CreateRemoveErr        error // if set, returned by each create and remove
-	SyncErr                error // if set, returned by each file sync
-	FailWritesAfterSyncErr bool  // once a file sync has failed, all later writes fail with the same error
-	Syncs                  int   // number of file syncs so far
-	CrashAtWrite           int   // number of the write or remove, from 1, at which the process crashes; 0 for never
-	CrashKeepBytes         int   // bytes of that write that are stored nevertheless
-	Writes                 int   // number of writes and removes so far
-	LongestWrite           int   // size of the longest write, in bytes
-	WrittenBytes           int   // total size of all writes, in bytes
-	files                  map[string]*fileContent
-	crashed                bool
+	CapacityBytes          int                     // total size that files may reach; negative for no limit
+	WriteErr               error                   // if set, returned by each write
+	CreateRemoveErr        error                   // if set, returned by each create and remove
+	SyncErr                error                   // if set, returned by each file sync
+	FailWritesAfterSyncErr bool                    // once a file sync has failed, all later writes fail with the same error
+	Syncs                  int                     // number of file syncs so far
+	CrashAtWrite           int                     // number of the write or remove, from 1, at which the process crashes; 0 for never
+	CrashKeepBytes         int                     // bytes of that write that are stored nevertheless
+	Writes                 int                     // number of writes and removes so far
+	LongestWrite           int                     // size of the longest write, in bytes
+	WrittenBytes           int                     // total size of all writes, in bytes
+	files                  map[string]*fileContent // by name
+	crashed                bool                    // the process has crashed: all operations fail with ErrCrashed
 }
 
-type fileContent struct{ b []byte }
+// fileContent is the content of a file, shared by the open files of it.
+type fileContent struct{ data []byte }
 
 // New returns an empty folder without a size limit or faults.
 func New() *Folder { return &Folder{CapacityBytes: -1, files: map[string]*fileContent{}} }
@@ -43,7 +45,7 @@
 	next := New()
 	next.CapacityBytes = f.CapacityBytes
 	for name, content := range f.files {
-		next.files[name] = &fileContent{slices.Clone(content.b)}
+		next.files[name] = &fileContent{slices.Clone(content.data)}
 	}
 	return next
 }
@@ -53,7 +55,7 @@
 	const blockBytes = 512
 	sum := 0
 	for _, content := range f.files {
-		sum += (len(content.b) + blockBytes - 1) / blockBytes * blockBytes
+		sum += (len(content.data) + blockBytes - 1) / blockBytes * blockBytes
 	}
 	return sum
 }
@@ -61,7 +63,7 @@
 // Content returns the content of a file, or nil if there is none. Changes to it change the file.
 func (f *Folder) Content(name string) []byte {
 	if content := f.files[name]; content != nil {
-		return content.b
+		return content.data
 	}
 	return nil
 }
@@ -79,6 +81,7 @@
 	return names, f.checkCrashed()
 }
 
+// checkCrashed returns ErrCrashed if the process has crashed.
 func (f *Folder) checkCrashed() error {
 	if f.crashed {
 		return ErrCrashed
@@ -120,26 +123,30 @@
 	return f.checkCrashed()
 }
 
-// Sync only checks for the crash, since names are durable at once.
+// Sync only checks for the crash, since created and removed names are durable at once.
 func (f *Folder) Sync() error { return f.checkCrashed() }
 
+// file is an open file of a Folder.
 type file struct {
 	folder *Folder
 	name   string
 	*fileContent
 }
 
+// ReadAt reads from the given offset. It returns io.EOF if the file ends before b is full.
 func (f *file) ReadAt(b []byte, offset int64) (int, error) {
-	if offset >= int64(len(f.b)) {
+	if offset >= int64(len(f.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.b[offset:])
+	n := copy(b, f.data[offset:])
 	if n < len(b) {
 		return n, io.EOF
 	}
 	return n, f.folder.checkCrashed()
 }
 
+// WriteAt writes b at the given offset and counts the write. It stores fewer bytes, and returns an error, if the crash occurs
+// at this write or the capacity is reached.
 func (f *file) WriteAt(b []byte, offset int64) (int, error) {
 	folder := f.folder
 	if err := errors.Join(folder.checkCrashed(), folder.WriteErr); err != nil {
@@ -151,20 +158,23 @@
 	if folder.Writes == folder.CrashAtWrite {
 		folder.crashed, n, err = true, min(folder.CrashKeepBytes, len(b)), ErrCrashed
 	}
-	if grown := int(offset) + n - len(f.b); grown > 0 && folder.CapacityBytes >= 0 && folder.UsedBytes()+grown > folder.CapacityBytes {
+	if grown := int(offset) + n - len(f.data); grown > 0 && folder.CapacityBytes >= 0 && folder.UsedBytes()+grown > folder.CapacityBytes {
 		n, err = max(0, n-(folder.UsedBytes()+grown-folder.CapacityBytes)), fmt.Errorf("%s: %w", f.name, syscall.ENOSPC)
 	}
-	if grown := int(offset) + n - len(f.b); grown > 0 && n > 0 {
-		f.b = append(f.b, make([]byte, grown)...)
+	if grown := int(offset) + n - len(f.data); grown > 0 && n > 0 {
+		f.data = append(f.data, make([]byte, grown)...)
 	}
 	if n > 0 {
-		copy(f.b[offset:], b[:n])
+		copy(f.data[offset:], b[:n])
 	}
 	return n, err
 }
 
-func (f *file) Size() (int64, error) { return int64(len(f.b)), f.folder.checkCrashed() }
-func (f *file) Close() error         { return nil }
+// Size returns the size of the file in bytes.
+func (f *file) Size() (int64, error) { return int64(len(f.data)), f.folder.checkCrashed() }
+
+// Close does nothing. The file can still be used afterwards.
+func (f *file) Close() error { return nil }
 
 // Sync counts the call and returns SyncErr if set. It never has to flush anything.
 func (f *file) Sync() error {
--- a/ledger/compact.go
+++ b/ledger/compact.go
@@ -24,12 +24,12 @@
 	if accepts {
 		wantFree = reservedFiles
 	}
-	for last := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() <= last && l.shouldCompact(); {
-		done, err := l.compactStep(max(budget, minRewriteBytes))
+	for newest := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() <= newest && l.shouldCompact(); {
+		used, err := l.compactStep(max(budget, minRewriteBytes))
 		if err != nil {
 			return fmt.Errorf("ledger: %w", err)
 		}
-		if budget -= done; budget <= 0 && l.log.FreeFiles() >= wantFree {
+		if budget -= used; budget <= 0 && l.log.FreeFiles() >= wantFree {
 			break
 		}
 	}
@@ -72,25 +72,25 @@
 // segment once none are left. It returns the part of the budget that it used.
 func (l *Ledger) compactStep(budget int) (int, error) {
 	const skipCost = 16 // bytes of the budget charged for skipping a notification that needs no rewriting
-	oldest, done := l.log.OldestSegment(), 0
-	list := l.bySegment[oldest]
-	for ; l.compactCursor < len(list); l.compactCursor++ {
-		p := list[l.compactCursor]
+	oldest, used := l.log.OldestSegment(), 0
+	notifications := l.bySegment[oldest]
+	for ; l.compactCursor < len(notifications); l.compactCursor++ {
+		p := notifications[l.compactCursor]
 		if p.completed || p.segment != oldest {
-			done += skipCost
+			used += skipCost
 			continue
 		}
-		if done >= budget {
-			return done, nil
+		if used >= budget {
+			return used, nil
 		}
 		if err := l.rewrite(p); err != nil {
-			return done, err
+			return used, err
 		}
-		done += p.chargedBytes
+		used += p.chargedBytes
 	}
 	delete(l.bySegment, oldest)
 	l.compactCursor = 0
-	return done + skipCost, l.log.ReleaseOldest()
+	return used + skipCost, l.log.ReleaseOldest()
 }
 
 // rewrite writes the state of a notification to the newest segment as a single record. If only a part of it were stored, a
@@ -110,7 +110,7 @@
 // Compact rewrites all pending notifications of the older segments, and removes the files that become free, except for
 // the reserved ones.
 func (l *Ledger) Compact() error {
-	for last := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() < last; {
+	for newest := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() < newest; {
 		if _, err := l.compactStep(maxSegmentBytes); err != nil {
 			return fmt.Errorf("ledger: %w", err)
 		}
--- a/ledger/crash_test.go
+++ b/ledger/crash_test.go
@@ -42,8 +42,8 @@
 	lastCallEnd ledger.Record // the last end of a call that was generated
 }
 
-func openLedger(f *faulty.Folder, h *harness) (*ledger.Report, []ledger.Pending, error) {
-	l, pending, report, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+func openLedger(folder *faulty.Folder, h *harness) (*ledger.Report, []ledger.Pending, error) {
+	l, pending, report, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 	if h.ledger = l; l != nil {
 		h.lastCall = l.LastCallNumber()
 	}
@@ -185,9 +185,9 @@
 }
 
 // runSteps does the given number of steps, or fewer if a step fails.
-func runSteps(f *faulty.Folder, steps int, seed uint64) (*harness, error) {
+func runSteps(folder *faulty.Folder, steps int, seed uint64) (*harness, error) {
 	h := &harness{expected: map[string]*expectation{}, random: rand.New(rand.NewPCG(seed, 1))}
-	if _, _, err := openLedger(f, h); err != nil {
+	if _, _, err := openLedger(folder, h); err != nil {
 		return h, err
 	}
 	for range steps {
@@ -217,14 +217,14 @@
 	crashes := 0
 	for crashAt := 1; crashAt <= uncrashed.Writes; crashAt++ {
 		for _, keep := range []int{0, 7, 30, 1 << 20} {
-			f := faulty.New()
-			f.CrashAtWrite, f.CrashKeepBytes = crashAt, keep
-			h, err := runSteps(f, steps, 7)
+			folder := faulty.New()
+			folder.CrashAtWrite, folder.CrashKeepBytes = crashAt, keep
+			h, err := runSteps(folder, steps, 7)
 			if !errors.Is(err, faulty.ErrCrashed) {
 				t.Fatalf("write %d: %v", crashAt, err)
 			}
 			crashes++
-			next := f.Restart()
+			next := folder.Restart()
 			_, pending, err := openLedger(next, h)
 			if err == nil {
 				err = h.compare(pending)
@@ -254,12 +254,12 @@
 // pending notification is lost, and the ledger recovers without a restart.
 func TestFullDisk(t *testing.T) {
 	for _, capacity := range []int{60 << 10, 90 << 10, 120 << 10, 150 << 10} {
-		f := faulty.New()
-		h, err := runSteps(f, 150, 3)
+		folder := faulty.New()
+		h, err := runSteps(folder, 150, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.CapacityBytes = max(capacity, f.UsedBytes())
+		folder.CapacityBytes = max(capacity, folder.UsedBytes())
 		failedSteps, refusedEnds := 0, 0
 		for i := range 3000 {
 			pendingBefore := len(h.pendingIDs)
@@ -272,7 +272,7 @@
 				}
 			}
 			if i == 2000 {
-				f.CapacityBytes = -1
+				folder.CapacityBytes = -1
 			}
 		}
 		if refusedEnds > 0 {
@@ -291,7 +291,7 @@
 		if acceptedCount == 0 {
 			t.Errorf("capacity %d: nothing was accepted after the disk had space again", capacity)
 		}
-		_, pending, err := openLedger(f.Restart(), h)
+		_, pending, err := openLedger(folder.Restart(), h)
 		if err == nil {
 			err = h.compare(pending)
 		}
@@ -304,22 +304,22 @@
 
 // Single writes fail with an error. A notification that was refused because of such an error is not restored by a restart.
 func TestFailedWritesAreNotRestored(t *testing.T) {
-	f := faulty.New()
-	h, err := runSteps(f, 100, 5)
+	folder := faulty.New()
+	h, err := runSteps(folder, 100, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	failedSteps := 0
 	for i := range 2000 {
-		if f.WriteErr = nil; i%7 == 0 {
-			f.WriteErr = syscall.EIO
+		if folder.WriteErr = nil; i%7 == 0 {
+			folder.WriteErr = syscall.EIO
 		}
 		if err := h.step(); err != nil {
 			failedSteps++
 		}
 	}
-	f.WriteErr = nil
-	_, pending, err := openLedger(f.Restart(), h)
+	folder.WriteErr = nil
+	_, pending, err := openLedger(folder.Restart(), h)
 	if err == nil {
 		err = h.compare(pending)
 	}
@@ -331,14 +331,14 @@
 // Random operations with restarts at random points: the ledger restores the state that the model expects.
 func TestMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := faulty.New()
-		h, err := runSteps(f, rapid.IntRange(1, 400).Draw(t, "steps"), rapid.Uint64().Draw(t, "seed"))
+		folder := faulty.New()
+		h, err := runSteps(folder, rapid.IntRange(1, 400).Draw(t, "steps"), rapid.Uint64().Draw(t, "seed"))
 		for range rapid.IntRange(1, 4).Draw(t, "restarts") {
 			if err != nil {
 				t.Fatal(err)
 			}
-			f = f.Restart()
-			_, pending, openErr := openLedger(f, h)
+			folder = folder.Restart()
+			_, pending, openErr := openLedger(folder, h)
 			if openErr == nil {
 				openErr = h.compare(pending)
 			}
@@ -358,15 +358,15 @@
 // A record in the middle of a segment is damaged. The report names the file and the range, later records are restored, and
 // the notifications accepted before the damage count as ones that may have run.
 func Example_damage() {
-	f := faulty.New()
-	l, _, _, _ := ledger.Open(f, ledger.Options{Limit: smallLimit})
+	folder := faulty.New()
+	l, _, _, _ := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 	for _, r := range []ledger.Record{accepted("a", 5), accepted("b", 5), {Kind: ledger.CallStarted, ID: "b", StartedAt: 1001, Endpoint: "e1", CallNumber: 1}, accepted("c", 5)} {
 		_ = l.Write(r)
 	}
-	content := f.Content("segment-000001")
+	content := folder.Content("segment-000001")
 	offset := strings.Index(string(content), "e1")
 	content[offset] ^= 1
-	_, pending, report, err := ledger.Open(f.Restart(), ledger.Options{Limit: smallLimit})
+	_, pending, report, err := ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit})
 	fmt.Println(err, report.Damaged)
 	for _, p := range pending {
 		fmt.Println(p.Message.ID, "may have run:", p.Message.RanAt > 0)
@@ -386,14 +386,14 @@
 		ledger.Record{Kind: ledger.CallStarted, ID: "not-run", StartedAt: 1004, Endpoint: "e3"}, ledger.Record{Kind: ledger.CallNotRun, ID: "not-run"},
 		ledger.Record{Kind: ledger.NoticePending, ID: "notice", Outcome: "handed_back", RetryIn: 0.5})
 	newFolder := func() *faulty.Folder {
-		f := faulty.New()
-		f.Put("ledger", append(content[:len(content):len(content)], 40, 0, 0, 0, 1, 2))
-		return f
+		folder := faulty.New()
+		folder.Put("ledger", append(content[:len(content):len(content)], 40, 0, 0, 0, 1, 2))
+		return folder
 	}
 	// The CallNotRun record has no call number and could be of another process, so it is ignored.
 	const want = "open 1 1004 false not-run 1 1004 false notice 0 0 true "
-	openAndDescribe := func(f *faulty.Folder) string {
-		_, pending, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+	openAndDescribe := func(folder *faulty.Folder) string {
+		_, pending, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 		if err != nil {
 			return err.Error()
 		}
@@ -412,13 +412,13 @@
 	}
 	for crashAt := 1; crashAt <= uncrashed.Writes; crashAt++ {
 		for _, keep := range []int{0, 9, 1 << 20} {
-			f := newFolder()
-			f.CrashAtWrite, f.CrashKeepBytes = crashAt, keep
-			_ = openAndDescribe(f)
-			if got := openAndDescribe(f.Restart()); got != want {
+			folder := newFolder()
+			folder.CrashAtWrite, folder.CrashKeepBytes = crashAt, keep
+			_ = openAndDescribe(folder)
+			if got := openAndDescribe(folder.Restart()); got != want {
 				t.Errorf("crash at write %d, %d kept: %s", crashAt, keep, got)
 			}
-			if got := openAndDescribe(f.Restart().Restart()); got != want {
+			if got := openAndDescribe(folder.Restart().Restart()); got != want {
 				t.Errorf("second restart after the crash at write %d: %s", crashAt, got)
 			}
 		}
@@ -428,25 +428,25 @@
 // With Sync, each write is synced once, whatever the number of records, and fails if the sync fails. If files cannot be
 // created, notifications are accepted until the existing files are full, and ends can still be written.
 func TestSyncAndCreateErrors(t *testing.T) {
-	f := faulty.New()
-	l, _, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit, Sync: true})
+	folder := faulty.New()
+	l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit, Sync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	syncsBefore := f.Syncs
-	if err := l.Write(accepted("a", 5), accepted("b", 5)); err != nil || f.Syncs == syncsBefore {
-		t.Fatal(err, f.Syncs-syncsBefore)
+	syncsBefore := folder.Syncs
+	if err := l.Write(accepted("a", 5), accepted("b", 5)); err != nil || folder.Syncs == syncsBefore {
+		t.Fatal(err, folder.Syncs-syncsBefore)
 	}
 	_ = l.Write(ledger.Record{Kind: ledger.Completed, ID: "unknown"}) // also allocates the reserved files
-	syncsBefore = f.Syncs
-	if err := l.Write(ledger.Record{Kind: ledger.CallStarted, ID: "a", StartedAt: 1, Endpoint: "e"}, accepted("c", 5)); err != nil || f.Syncs != syncsBefore+1 {
-		t.Fatal(err, f.Syncs-syncsBefore)
+	syncsBefore = folder.Syncs
+	if err := l.Write(ledger.Record{Kind: ledger.CallStarted, ID: "a", StartedAt: 1, Endpoint: "e"}, accepted("c", 5)); err != nil || folder.Syncs != syncsBefore+1 {
+		t.Fatal(err, folder.Syncs-syncsBefore)
 	}
-	f.SyncErr = syscall.EIO
+	folder.SyncErr = syscall.EIO
 	if err := l.Write(accepted("d", 5)); !errors.Is(err, syscall.EIO) {
 		t.Fatal(err)
 	}
-	f.SyncErr, f.CreateRemoveErr = nil, syscall.EACCES
+	folder.SyncErr, folder.CreateRemoveErr = nil, syscall.EACCES
 	acceptedCount := 0
 	for i := 0; i < 1000 && err == nil; i++ {
 		if err = l.Write(accepted(fmt.Sprint("n", i), 500)); err == nil {
@@ -459,7 +459,7 @@
 	if err := l.Write(ledger.Record{Kind: ledger.Completed, ID: "b"}); err != nil {
 		t.Fatal("writing an end failed:", err)
 	}
-	_, pending, _, err := ledger.Open(f.Restart(), ledger.Options{Limit: smallLimit})
+	_, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit})
 	if err != nil || len(pending) != acceptedCount+2 || pending[0].Message.ID != "a" || pending[1].Message.ID != "c" {
 		t.Fatal(err, len(pending), acceptedCount)
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -40,13 +40,13 @@
 	pending            map[string]*Pending
 	bySegment          map[int][]*Pending // by number of the segment that they were accepted or rewritten in
 	compactCursor      int                // index of the next notification to compact in the oldest segment
-	lastSeq            int                // highest sequence number of an accepted notification
+	lastAcceptedSeq    int                // highest sequence number of an accepted notification
 	lastCallNumber     uint64             // highest call number in a record
 	rewrittenBytes     int                // total size of rewritten records
 	writesUntilReserve int                // writes until allocating the reserved files is retried
 	reserveErr         error              // why the reserved files could not be allocated
 	buf                []byte             // encoded records of the current write
-	partBuf            []byte             // one encoded record of a batch
+	recordBuf          []byte             // one encoded record of a batch
 }
 
 // Report describes what Open found.
@@ -156,8 +156,8 @@
 	accepts := false
 	for i := range records {
 		if r := &records[i]; r.Kind == Accepted && r.Seq == 0 {
-			l.lastSeq++
-			r.Seq = l.lastSeq
+			l.lastAcceptedSeq++
+			r.Seq = l.lastAcceptedSeq
 		}
 		accepts = accepts || records[i].Kind == Accepted
 	}
@@ -192,9 +192,9 @@
 	}
 	l.buf = appendString(append(l.buf, byte(Batch)), "")
 	for i := range records {
-		l.partBuf = encode(l.partBuf[:0], records[i])
-		records[i].size = len(l.partBuf)
-		l.buf = append(binary.AppendUvarint(l.buf, uint64(len(l.partBuf))), l.partBuf...)
+		l.recordBuf = encode(l.recordBuf[:0], records[i])
+		records[i].size = len(l.recordBuf)
+		l.buf = append(binary.AppendUvarint(l.buf, uint64(len(l.recordBuf))), l.recordBuf...)
 	}
 }
 
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -12,12 +12,14 @@
 	"orchiddrift/message"
 )
 
+// accepted returns an Accepted record of a message with the given ID and size of the body.
 func accepted(id string, bodyBytes int) ledger.Record {
 	m := &message.Message{ExpiresAt: 1020, IdempotencyKey: "mark", Body: []byte(strings.Repeat("x", bodyBytes))}
 	m.ID, m.Topic, m.Tenant, m.Dest, m.Key = id, "order", "acme", "7", "account"
 	return ledger.Record{Kind: ledger.Accepted, ID: id, Message: m}
 }
 
+// tempDir creates a temporary directory, which the caller removes.
 func tempDir() string {
 	dir, err := os.MkdirTemp("", "ledger")
 	if err != nil {
@@ -26,6 +28,8 @@
 	return dir
 }
 
+// openAndPrint opens the ledger in a directory and prints its pending notifications. The directory is unlocked again, so that
+// it can be opened a second time while the returned ledger is in use.
 func openAndPrint(dir string, limit int) *ledger.Ledger {
 	folder, err := disk.OpenDir(dir)
 	if err != nil {
@@ -48,6 +52,7 @@
 	return l
 }
 
+// diskUsage returns the total size of the files in a directory, in bytes.
 func diskUsage(dir string) (sum int64) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*"))
 	for _, f := range files {
@@ -135,6 +140,6 @@
 	fmt.Println(err)
 	// Output:
 	// open /nowhere/at/all/lock: no such file or directory
-	// DIR: another process holds it
+	// DIR: locked by another process
 	// <nil>
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -72,7 +72,7 @@
 		b = binary.AppendUvarint(b, r.CallNumber)
 	case CallNotRun, CallMayHaveRun:
 		b = binary.AppendUvarint(b, r.CallNumber)
-		b = append(b, boolByte(r.Unsent))
+		b = append(b, encodeBool(r.Unsent))
 	case NoticePending:
 		b = appendFloat(appendString(b, r.Outcome), r.RetryIn)
 	}
@@ -84,7 +84,7 @@
 	if len(b) == 0 {
 		return Record{}, errTornRecord
 	}
-	f := &fieldReader{b: b[1:]}
+	f := &fieldReader{remaining: b[1:]}
 	r := Record{Kind: Kind(b[0]), ID: f.readString()}
 	switch r.Kind {
 	case Accepted:
@@ -95,14 +95,14 @@
 		}
 		m.Body = []byte(f.readString())
 		m.ExpiresAt, m.RanAt = f.readFloat(), f.readFloat()
-		if r.Message, r.Pushes = m, int(f.readUint()); len(f.b) > 0 { // the legacy file has no Seq
+		if r.Message, r.Pushes = m, int(f.readUint()); len(f.remaining) > 0 { // the legacy file has no Seq
 			r.Seq = int(f.readUint())
 		}
-		if len(f.b) > 0 {
+		if len(f.remaining) > 0 {
 			m.RanZone, m.RanCall = f.readString(), f.readUint()
 		}
 	case Batch:
-		for len(f.b) > 0 {
+		for len(f.remaining) > 0 {
 			encoded := f.readString()
 			part, err := decode([]byte(encoded))
 			if err != nil || part.Kind == Batch {
@@ -113,11 +113,11 @@
 		}
 	case CallStarted:
 		r.StartedAt, r.Endpoint = f.readFloat(), f.readString()
-		if len(f.b) > 0 {
+		if len(f.remaining) > 0 {
 			r.Zone, r.CallNumber = f.readString(), f.readUint()
 		}
 	case CallNotRun, CallMayHaveRun:
-		if len(f.b) > 0 {
+		if len(f.remaining) > 0 {
 			r.CallNumber, r.Unsent = f.readUint(), f.readUint() > 0
 		}
 	case NoticePending:
@@ -154,7 +154,7 @@
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(v))
 }
 
-func boolByte(set bool) byte {
+func encodeBool(set bool) byte {
 	if set {
 		return 1
 	}
@@ -163,37 +163,37 @@
 
 // fieldReader reads the encoded fields of a record in order. truncated is set once the data ends within a field.
 type fieldReader struct {
-	b         []byte
+	remaining []byte
 	truncated bool
 }
 
 func (f *fieldReader) readUint() uint64 {
-	v, n := binary.Uvarint(f.b)
+	v, n := binary.Uvarint(f.remaining)
 	if n <= 0 {
-		f.truncated, f.b = true, nil
+		f.truncated, f.remaining = true, nil
 		return 0
 	}
-	f.b = f.b[n:]
+	f.remaining = f.remaining[n:]
 	return v
 }
 
 func (f *fieldReader) readString() string {
 	n := f.readUint()
-	if n > uint64(len(f.b)) {
-		f.truncated, f.b = true, nil
+	if n > uint64(len(f.remaining)) {
+		f.truncated, f.remaining = true, nil
 		return ""
 	}
-	s := string(f.b[:n])
-	f.b = f.b[n:]
+	s := string(f.remaining[:n])
+	f.remaining = f.remaining[n:]
 	return s
 }
 
 func (f *fieldReader) readFloat() float64 {
-	if len(f.b) < 8 {
-		f.truncated, f.b = true, nil
+	if len(f.remaining) < 8 {
+		f.truncated, f.remaining = true, nil
 		return 0
 	}
-	v := math.Float64frombits(binary.LittleEndian.Uint64(f.b))
-	f.b = f.b[8:]
+	v := math.Float64frombits(binary.LittleEndian.Uint64(f.remaining))
+	f.remaining = f.remaining[8:]
 	return v
 }
--- a/ledger/restarts_test.go
+++ b/ledger/restarts_test.go
@@ -12,16 +12,16 @@
 // A call that was open when its process ended counts as one that may have run. Later processes whose own calls never ran
 // do not revoke this, however many restarts there are.
 func TestOpenCallSurvivesRestarts(t *testing.T) {
-	f := faulty.New()
+	folder := faulty.New()
 	reopen := func() (*ledger.Ledger, ledger.Pending) {
-		f = f.Restart()
-		l, pending, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+		folder = folder.Restart()
+		l, pending, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 		if err != nil || len(pending) != 1 {
 			t.Fatal(len(pending), err)
 		}
 		return l, pending[0]
 	}
-	first, _, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+	first, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,8 +73,8 @@
 		"an end of a call without a start":    {[][]ledger.Record{{callMayHaveRun(7)}}, `1   0, 0 pushes`, ledger.EndNone},
 		"records without call numbers":        {[][]ledger.Record{{callStarted(0, 1001, "e1", ""), callNotRun(0)}, {callStarted(3, 1004, "e2", "b"), callNotRun(3)}}, `1001 e1  0, 2 pushes`, ledger.EndNeverRan},
 	} {
-		f := faulty.New()
-		l, _, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+		folder := faulty.New()
+		l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,15 +85,15 @@
 			if err := l.Write(records...); err != nil {
 				t.Fatal(err)
 			}
-			f = f.Restart()
-			if l, _, _, err = ledger.Open(f, ledger.Options{Limit: smallLimit}); err != nil {
+			folder = folder.Restart()
+			if l, _, _, err = ledger.Open(folder, ledger.Options{Limit: smallLimit}); err != nil {
 				t.Fatal(err)
 			}
 			if i < len(c.processes)-1 {
 				continue
 			}
 			for compactions := range 2 {
-				_, pending, _, err := ledger.Open(f.Restart(), ledger.Options{Limit: smallLimit})
+				_, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit})
 				if err != nil || len(pending) != 1 {
 					t.Fatal(len(pending), err)
 				}
@@ -115,8 +115,8 @@
 // One process finds a damaged segment, so that a pending notification counts as one that may have run. This is still so
 // after later processes have rewritten the notification and released the damaged segment.
 func TestDamageSurvivesCompaction(t *testing.T) {
-	f := faulty.New()
-	l, _, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+	folder := faulty.New()
+	l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,11 +125,11 @@
 			t.Fatal(err)
 		}
 	}
-	content := f.Content("segment-000001")
+	content := folder.Content("segment-000001")
 	content[strings.Index(string(content), "e1")] ^= 1 // damages the CallStarted record
 	for process := 2; process <= 4; process++ {
-		f = f.Restart()
-		l, pending, report, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+		folder = folder.Restart()
+		l, pending, report, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 		if err != nil || len(pending) != 2 {
 			t.Fatal(len(pending), err)
 		}
@@ -140,7 +140,7 @@
 			t.Errorf("process %d: damage reported: %v", process, damaged)
 		}
 		fillers := 0
-		for l.RewrittenBytes() == 0 || f.Content("segment-000001")[0] != 0 { // until the damaged segment is released
+		for l.RewrittenBytes() == 0 || folder.Content("segment-000001")[0] != 0 { // until the damaged segment is released
 			fillers++
 			if err := l.Write(accepted(fmt.Sprint("filler", process, fillers), 2000), ledger.Record{Kind: ledger.Completed, ID: fmt.Sprint("filler", process, fillers)}); err != nil {
 				t.Fatal(err)
@@ -156,8 +156,8 @@
 // killed instead, the call counts as one that may have run.
 func TestCompactionDuringCall(t *testing.T) {
 	for _, ended := range []bool{true, false} {
-		f := faulty.New()
-		l, _, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+		folder := faulty.New()
+		l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -179,8 +179,8 @@
 			}
 		}
 		for range 2 {
-			f = f.Restart()
-			_, pending, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+			folder = folder.Restart()
+			_, pending, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 			if err != nil || len(pending) != 1 {
 				t.Fatal(len(pending), err)
 			}
@@ -197,8 +197,8 @@
 func TestBatchIsAtomic(t *testing.T) {
 	const maxBytes = 1000 // more than the size of the write
 	for keptBytes := range maxBytes {
-		f := faulty.New()
-		l, _, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+		folder := faulty.New()
+		l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -207,15 +207,15 @@
 				t.Fatal(err)
 			}
 		}
-		f.CrashAtWrite, f.CrashKeepBytes = f.Writes+1, keptBytes
-		written := f.WrittenBytes
+		folder.CrashAtWrite, folder.CrashKeepBytes = folder.Writes+1, keptBytes
+		written := folder.WrittenBytes
 		err = l.Write(accepted("a", 5), accepted("b", 5), callStarted(1, 1001, "e1", "z"))
-		written = f.WrittenBytes - written
+		written = folder.WrittenBytes - written
 		if err == nil {
 			t.Fatal("the write did not fail")
 		}
-		f = f.Restart()
-		l, pending, _, err := ledger.Open(f, ledger.Options{Limit: smallLimit})
+		folder = folder.Restart()
+		l, pending, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -231,7 +231,7 @@
 		if err := l.Write(accepted("after", 5), accepted("after that", 5)); err != nil {
 			t.Fatal(err)
 		}
-		if _, pending, _, err = ledger.Open(f.Restart(), ledger.Options{Limit: smallLimit}); err != nil || len(pending) != 3 || pending[1].Message.ID != "after" {
+		if _, pending, _, err = ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit}); err != nil || len(pending) != 3 || pending[1].Message.ID != "after" {
 			t.Fatalf("%d bytes stored: %d pending after the next write, %v", keptBytes, len(pending), err)
 		}
 	}
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -67,7 +67,7 @@
 }
 
 // apply updates the state in memory with a record of the given size in a segment.
-func (l *Ledger) apply(r Record, segment, bytes int) {
+func (l *Ledger) apply(r Record, segment, recordBytes int) {
 	p := l.pending[r.ID]
 	l.lastCallNumber = max(l.lastCallNumber, r.CallNumber)
 	switch {
@@ -76,7 +76,7 @@
 			l.apply(part, segment, part.size)
 		}
 	case r.Kind == Accepted:
-		l.applyAccepted(r, segment, bytes)
+		l.applyAccepted(r, segment, recordBytes)
 	case p == nil: // already completed
 	case r.Kind == CallStarted:
 		p.applyCallStarted(&r)
@@ -94,7 +94,7 @@
 }
 
 // applyAccepted adds a notification, or replaces it if the record was rewritten by compaction.
-func (l *Ledger) applyAccepted(r Record, segment, bytes int) {
+func (l *Ledger) applyAccepted(r Record, segment, recordBytes int) {
 	if replaced := l.pending[r.ID]; replaced != nil {
 		l.liveBytes -= replaced.chargedBytes
 		replaced.completed, replaced.Message = true, nil
@@ -102,10 +102,10 @@
 	m := *r.Message
 	m.Pushes = r.Pushes
 	if r.Seq == 0 {
-		r.Seq = l.lastSeq + 1
+		r.Seq = l.lastAcceptedSeq + 1
 	}
-	l.lastSeq = max(l.lastSeq, r.Seq)
-	p := &Pending{Message: &m, seq: r.Seq, chargedBytes: l.chargedBytes(bytes), segment: segment}
+	l.lastAcceptedSeq = max(l.lastAcceptedSeq, r.Seq)
+	p := &Pending{Message: &m, seq: r.Seq, chargedBytes: l.chargedBytes(recordBytes), segment: segment}
 	l.pending[r.ID] = p
 	l.liveBytes += p.chargedBytes
 	l.bySegment[segment] = append(l.bySegment[segment], p)
--- a/seglog/seglog.go
+++ b/seglog/seglog.go
@@ -20,13 +20,13 @@
 	// Version is the version of the segment format. Segments of another version are not read.
 	Version = 1
 
-	magic            = "ODLG"
-	HeaderSize       = 24 // bytes of a segment's header: magic, version, segment number, base sequence number, checksum
-	recordHeaderSize = 16 // bytes of a record's header: length, checksum, sequence number
+	magic            = "ODLG" // first bytes of a segment file that has been used
+	HeaderSize       = 24     // bytes of a segment's header: magic, version, segment number, base sequence number, checksum
+	recordHeaderSize = 16     // bytes of a record's header: length, checksum, sequence number
 	fileNamePrefix   = "segment-"
 )
 
-// RecordOverhead is the number of bytes that a record takes in a segment in addition to its content.
+// RecordOverhead is the number of bytes that a record occupies in a segment in addition to its content.
 const RecordOverhead = recordHeaderSize
 
 // Errors returned by a Log.
@@ -42,7 +42,7 @@
 type Log struct {
 	folder              disk.Folder
 	segmentBytes        int
-	maxFiles            int // in use and free
+	maxFiles            int // maximum number of segment files, in use and free
 	sync                bool
 	inUse               []*segment // oldest first; the last one is the active segment
 	free                []*segment
@@ -51,7 +51,7 @@
 	lastSeq             uint64 // sequence number of the last record, including records of failed writes
 	lastGoodSeq         uint64 // sequence number of the last record that was written successfully
 	failedWriteReadable bool   // a failed write has not been discarded: a process that opens the log now may read it
-	buf                 []byte
+	buf                 []byte // encoded records of the current or last Append
 }
 
 // segment is a segment file, in use or free.
@@ -74,8 +74,8 @@
 
 // Report describes what Open found.
 type Report struct {
-	Segments int      `json:"segments"`
-	Free     int      `json:"free"`
+	Segments int      `json:"segments"` // number of segments in use
+	Free     int      `json:"free"`     // number of free segment files
 	Records  int      `json:"records"`
 	Bytes    int      `json:"bytes"` // size of the records with their headers
 	Damaged  []Damage `json:"damaged,omitempty"`
@@ -91,6 +91,7 @@
 
 // Open reads the segments, oldest first. It calls onRecord for each record with the number of its segment, and onDamage
 // for each unreadable range before the records that follow it. The record passed to onRecord is only valid during the call.
+// Unless ReadOnly is set, Open removes free files of a size other than SegmentBytes.
 func Open(folder disk.Folder, options Options, onRecord func(segment int, record []byte), onDamage func(Damage)) (*Log, Report, error) {
 	l := &Log{folder: folder, segmentBytes: options.SegmentBytes, maxFiles: options.MaxFiles, sync: options.Sync}
 	report, err := l.open(options, onRecord, onDamage)
@@ -101,6 +102,7 @@
 	return l, report, nil
 }
 
+// open reads the segments into l, as described at Open. After an error, l may hold open files.
 func (l *Log) open(options Options, onRecord func(segment int, record []byte), onDamage func(Damage)) (Report, error) {
 	names, err := l.folder.List()
 	if err != nil {
@@ -138,7 +140,7 @@
 	slices.SortFunc(l.inUse, func(a, b *segment) int { return a.number - b.number })
 	report := Report{Segments: len(l.inUse), Free: len(l.free)}
 	for i, s := range l.inUse {
-		// Records in s after the base of the next segment are of a failed write.
+		// Records in s with a higher sequence number than the base of the next segment are of a failed write.
 		maxSeq := uint64(noNextSegment)
 		if i+1 < len(l.inUse) {
 			if maxSeq, err = l.readBaseSeq(l.inUse[i+1]); err != nil {
@@ -173,18 +175,19 @@
 	return nil
 }
 
-// readBaseSeq returns the base of a segment: the sequence number of the last valid record before it.
+// readBaseSeq returns the base sequence number of a segment: that of the last valid record before it.
 func (l *Log) readBaseSeq(s *segment) (uint64, error) {
 	var b [8]byte
 	_, err := s.file.ReadAt(b[:], 12)
 	return binary.LittleEndian.Uint64(b[:]), err
 }
 
-// noNextSegment is used in place of the next segment's base when there is no next segment. It cannot be 0, which is the
-// base of a segment before which no write succeeded.
+// noNextSegment is used in place of the next segment's base sequence number when there is no next segment. It cannot be 0,
+// which is the base sequence number of a segment before which no write succeeded.
 const noNextSegment = math.MaxUint64
 
-// readRecords reads the records of a segment with sequence numbers up to maxSeq.
+// readRecords reads the records of a segment with sequence numbers up to maxSeq, and adds them and the unreadable ranges
+// to the report.
 func (l *Log) readRecords(s *segment, maxSeq uint64, report *Report, onRecord func(int, []byte), onDamage func(Damage)) error {
 	b := make([]byte, s.size)
 	if n, err := s.file.ReadAt(b, 0); n < len(b) {
@@ -217,7 +220,7 @@
 		report.Bytes += n
 		l.lastSeq, offset = seq, offset+n
 	}
-	s.writeOffset = offset                             // followed by a torn write or old content of the file
+	s.writeOffset = offset                             // the bytes after it are of a torn write or an earlier use of the file
 	if maxSeq != noNextSegment && maxSeq > l.lastSeq { // the last records of the segment are lost
 		d := Damage{s.name, offset, len(b) - offset}
 		report.Damaged = append(report.Damaged, d)
@@ -226,8 +229,8 @@
 	return nil
 }
 
-// parseRecord returns the length with header and the sequence number of the record at the start of b. Both are 0 unless
-// the record is valid and its sequence number is greater than lastSeq.
+// parseRecord returns the length, including the header, and the sequence number of the record at the start of b. Both are
+// 0 unless the record is valid and its sequence number is greater than lastSeq.
 func parseRecord(b []byte, lastSeq uint64) (int, uint64) {
 	if len(b) < recordHeaderSize {
 		return 0, 0
@@ -284,7 +287,7 @@
 			return 0, err
 		}
 	}
-	l.lastSeq = seq // not reused if the write fails: the remains of a failed write are older than what overwrites them
+	l.lastSeq = seq // also if the write fails, so that what it leaves has lower numbers than the records that overwrite it
 	if n, err := s.file.WriteAt(l.buf, int64(s.writeOffset)); n < len(l.buf) || err != nil {
 		l.wipeFailedWrite(s)
 		return 0, fmt.Errorf("%s: %w", s.name, orShortWrite(err))
@@ -302,6 +305,7 @@
 
 var errShortWrite = errors.New("short write")
 
+// orShortWrite returns err, or errShortWrite if err is nil.
 func orShortWrite(err error) error {
 	if err == nil {
 		return errShortWrite
@@ -309,7 +313,7 @@
 	return err
 }
 
-// wipeFailedWrite overwrites what a failed write may have left with zeros. If that fails too, the log continues in another
+// wipeFailedWrite overwrites with zeros what a failed write may have left. If that fails too, the log continues in another
 // segment, whose header holds the sequence number of the last valid record. Until that header is written, a process that
 // opens the log may read the failed write.
 func (l *Log) wipeFailedWrite(s *segment) {
@@ -331,7 +335,7 @@
 		return nil
 	}
 	s, err := l.active(), error(nil)
-	if s.wipeFailed { // otherwise the header of the new segment is written, but not synced
+	if s.wipeFailed { // otherwise the new segment is active already, and only the sync of its header is missing
 		s, err = l.activateSegment()
 	}
 	if err == nil && l.sync {
@@ -344,6 +348,7 @@
 	return nil
 }
 
+// active returns the newest segment, to which records are appended, or nil if there is none.
 func (l *Log) active() *segment {
 	if len(l.inUse) == 0 {
 		return nil
@@ -351,7 +356,7 @@
 	return l.inUse[len(l.inUse)-1]
 }
 
-// activateSegment makes a free file the newest segment, allocating one if there is none.
+// activateSegment makes a free file the newest segment, allocating one if there is none. It does not sync the header.
 func (l *Log) activateSegment() (*segment, error) {
 	if len(l.free) == 0 {
 		if err := l.Reserve(1); err != nil {
@@ -412,7 +417,7 @@
 		return fmt.Errorf("%s: %w", s.name, orShortWrite(err))
 	}
 	s.number, s.writeOffset = 0, 0
-	if l.inUse = l.inUse[1:]; s.size != l.segmentBytes { // of a size that is no longer configured
+	if l.inUse = l.inUse[1:]; s.size != l.segmentBytes { // allocated with another configured size
 		l.removeFile(s)
 		return nil
 	}
@@ -420,7 +425,7 @@
 	return nil
 }
 
-// removeFile closes and removes a file without records. Errors are ignored, since Open tries again at the next start.
+// removeFile closes and removes a file without records. Errors are ignored, since the next Open lists a remaining file again.
 func (l *Log) removeFile(s *segment) {
 	_ = s.file.Close()
 	_ = l.folder.Remove(s.name)
@@ -442,17 +447,17 @@
 	return 0
 }
 
-// LastSeq returns the sequence number of the last record, including failed writes. It never decreases, even across
-// processes.
+// LastSeq returns the sequence number of the last record, including records of failed writes. It does not decrease while the
+// log is open. After the log is opened again it is at least that of the last successful write, unless that is damaged.
 func (l *Log) LastSeq() uint64 { return l.lastSeq }
 
-// UsedFiles returns the number of segments in use.
+// UsedFiles returns the number of segment files in use.
 func (l *Log) UsedFiles() int { return len(l.inUse) }
 
-// FreeFiles returns the number of allocated files that are free.
+// FreeFiles returns the number of allocated segment files that are free.
 func (l *Log) FreeFiles() int { return len(l.free) }
 
-// MaxFiles returns the maximum number of files, in use and free.
+// MaxFiles returns the maximum number of segment files, in use and free.
 func (l *Log) MaxFiles() int { return l.maxFiles }
 
 // TrimFree removes free files until at most keep are left.
