--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -9,7 +9,7 @@
 	"orchiddrift/ledger"
 )
 
-// openInDir opens a ledger in a directory of the operating system.
+// openInDir opens a ledger in a directory of the operating system. The directory stays locked until the benchmark ends.
 func openInDir(b *testing.B, dir string, limit int) (*ledger.Ledger, []ledger.Pending) {
 	folder, err := disk.OpenDir(dir)
 	if err != nil {
--- a/ledger/compact.go
+++ b/ledger/compact.go
@@ -9,14 +9,14 @@
 
 // Parameters of compaction.
 const (
-	minRewriteBytes            = 2048 // minimum budget of compaction per write, in bytes
-	rewriteBytesPerByteWritten = 2    // budget of compaction per byte of a write, in bytes
-	reserveRetryWrites         = 32   // number of writes between attempts to allocate files on a full disk
+	minRewriteBytes            = 2048 // smallest compaction budget of a write, in bytes
+	rewriteBytesPerByteWritten = 2    // compaction budget per byte of a write, in bytes
+	reserveRetryWrites         = 32   // number of writes between attempts to allocate the reserved files
 	minUsedToLiveRatio         = 2    // ratio of used to live bytes above which compaction runs
 )
 
 // compact rewrites part of the oldest segment, in proportion to the size of the write that follows, and allocates the
-// reserved free files. accepts is set if the write contains an Accepted record, for which the reserved files must be free.
+// reserved files. accepts reports whether the write contains an Accepted record, for which the reserved files must be free.
 // The work is bounded by the size of the write or, if too few files are free, by one pass over the segments.
 func (l *Ledger) compact(writtenBytes int, accepts bool) error {
 	l.reserve()
@@ -60,8 +60,8 @@
 	return false
 }
 
-// shouldCompact reports whether the oldest segment should be compacted: used space exceeds minUsedToLiveRatio times the
-// live bytes, or the reserved files are not free.
+// shouldCompact reports whether the oldest segment should be compacted: the used space exceeds minUsedToLiveRatio times the
+// live bytes, or fewer files are free than reserved.
 func (l *Ledger) shouldCompact() bool {
 	const inProgressSegments = 2 // the newest segment and the one being compacted
 	used := (l.log.UsedFiles() - inProgressSegments) * l.segmentCapacity
--- a/ledger/crash_test.go
+++ b/ledger/crash_test.go
@@ -15,20 +15,20 @@
 	"orchiddrift/ledger"
 )
 
-const smallLimit = 200 << 10 // bytes; gives a folder of eight files, so that files are recycled often
+const smallLimit = 200 << 10 // limit of the ledger in bytes; allows only eight files, so that they are recycled often
 
 // expectation is the state of a notification according to the results of the writes to the ledger.
 type expectation struct {
 	pushes           int
 	mayHaveRun       bool   // a push may have run
 	openCall         uint64 // number of the call without an end, 0 for none
-	notice           string
-	order            int
-	lastWriteCrashed bool // the process crashed during the last write
-	acceptCrashed    bool // the process crashed during the write of its Accepted record
-	completeCrashed  bool // the process crashed during the write of its Completed record
-	accepted         bool
-	completed        bool
+	notice           string // outcome of the pending notice; "" for none
+	order            int    // position in the order of acceptance
+	lastWriteCrashed bool   // the process crashed during the last write
+	acceptCrashed    bool   // the process crashed during the write of its Accepted record
+	completeCrashed  bool   // the process crashed during the write of its Completed record
+	accepted         bool   // the write of its Accepted record succeeded
+	completed        bool   // the write of its Completed record succeeded
 }
 
 // harness runs random operations on a ledger and keeps the expected state in a map.
@@ -36,12 +36,13 @@
 	ledger      *ledger.Ledger
 	expected    map[string]*expectation
 	random      *rand.Rand
-	lastNumber  int
+	lastNumber  int // number in the ID of the last notification
 	pendingIDs  []string
 	lastCall    uint64        // number of the last call
 	lastCallEnd ledger.Record // the last end of a call that was generated
 }
 
+// openLedger opens the ledger in a folder and makes it the harness's ledger.
 func openLedger(folder *faulty.Folder, h *harness) (*ledger.Report, []ledger.Pending, error) {
 	l, pending, report, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
 	if h.ledger = l; l != nil {
@@ -125,6 +126,7 @@
 	}
 }
 
+// without returns the list without the given ID.
 func without(list []string, id string) []string {
 	var out []string
 	for _, element := range list {
@@ -250,8 +252,8 @@
 	t.Log(crashes, "crashes at", uncrashed.Writes, "writes")
 }
 
-// The disk becomes full and later has space again. Meanwhile new notifications are refused, but ends are still written. No
-// pending notification is lost, and the ledger recovers without a restart.
+// The disk becomes full and later has space again. Meanwhile new notifications are refused, but records of pending ones are
+// still written. No pending notification is lost, and the ledger recovers without a restart.
 func TestFullDisk(t *testing.T) {
 	for _, capacity := range []int{60 << 10, 90 << 10, 120 << 10, 150 << 10} {
 		folder := faulty.New()
@@ -268,7 +270,7 @@
 					t.Fatal(err)
 				}
 				if failedSteps++; len(h.pendingIDs) == pendingBefore && h.expected[fmt.Sprint("n", h.lastNumber)].accepted {
-					refusedEnds++ // the failed write was not one of an Accepted record
+					refusedEnds++ // the failed write was not that of an Accepted record
 				}
 			}
 			if i == 2000 {
@@ -276,7 +278,7 @@
 			}
 		}
 		if refusedEnds > 0 {
-			t.Errorf("capacity %d: %d writes of ends failed", capacity, refusedEnds)
+			t.Errorf("capacity %d: %d writes of records of pending notifications failed", capacity, refusedEnds)
 		}
 		acceptedCount := 0
 		for range 200 {
@@ -302,7 +304,7 @@
 	}
 }
 
-// Single writes fail with an error. A notification that was refused because of such an error is not restored by a restart.
+// Writes fail with an error now and then. A notification refused because of such an error is not restored after a restart.
 func TestFailedWritesAreNotRestored(t *testing.T) {
 	folder := faulty.New()
 	h, err := runSteps(folder, 100, 5)
@@ -328,7 +330,7 @@
 	}
 }
 
-// Random operations with restarts at random points: the ledger restores the state that the model expects.
+// Random operations with restarts at random points: the ledger restores the state that the harness expects.
 func TestMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder := faulty.New()
@@ -378,7 +380,7 @@
 	// c may have run: false
 }
 
-// Migrates the legacy file, without the torn record at its end. After a crash at any write, the next start repeats the
+// The legacy file is migrated, except for the torn record at its end. After a crash at any write, the next start repeats the
 // migration.
 func TestLegacyMigration(t *testing.T) {
 	content := ledger.LegacyFile(accepted("completed", 5), accepted("open", 900), accepted("not-run", 9), accepted("notice", 0),
@@ -426,7 +428,7 @@
 }
 
 // With Sync, each write is synced once, whatever the number of records, and fails if the sync fails. If files cannot be
-// created, notifications are accepted until the existing files are full, and ends can still be written.
+// created, notifications are accepted until the existing files are full, and pending ones can still be completed.
 func TestSyncAndCreateErrors(t *testing.T) {
 	folder := faulty.New()
 	l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit, Sync: true})
@@ -457,7 +459,7 @@
 		t.Fatal(acceptedCount, err)
 	}
 	if err := l.Write(ledger.Record{Kind: ledger.Completed, ID: "b"}); err != nil {
-		t.Fatal("writing an end failed:", err)
+		t.Fatal("writing a Completed record failed:", err)
 	}
 	_, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit})
 	if err != nil || len(pending) != acceptedCount+2 || pending[0].Message.ID != "a" || pending[1].Message.ID != "c" {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -2,8 +2,8 @@
 // Changes are appended as records to a segmented log, and the resulting state is held in memory. Compaction is
 // incremental: each write also rewrites a few of the notifications in the oldest segment that are still pending.
 //
-// The records of a notification may come from several successive processes. A later process never revokes that a call of
-// an earlier one may have run: each call has a number, and the record of its end refers to it (see state.go).
+// The records of a notification may come from several successive processes. A later process never turns a call of an earlier
+// one that may have run into one that never ran: each call has a number, and the record of its end refers to it (see state.go).
 package ledger
 
 import (
@@ -22,31 +22,31 @@
 
 // Layout of the folder.
 const (
-	folderOverheadBytes = 4096     // part of the limit left for the directory itself
+	folderOverheadBytes = 4096     // part of the limit that is left for the directory itself
 	targetSegments      = 48       // number of segments, unless they would be smaller than minSegmentBytes
 	minSegmentBytes     = 72 << 10 // holds a message with its body
 	maxSegmentBytes     = 4 << 20  // larger segments bring no benefit
 	minSegments         = 8        // smallest number of segments that the ledger works with
-	reservedFiles       = 2        // free files reserved so that ends can be written while the disk is full
-	maxFillRatio        = 0.65     // part of the capacity, without the reserved and the newest segment, for pending notifications
+	reservedFiles       = 2        // free files kept so that pending notifications can be completed while the disk is full
+	maxFillRatio        = 0.65     // part of the capacity, less the reserved and the newest segments, for pending notifications
 	laterRecordsBytes   = 256      // allowance for the later records of a notification, without IDs and endpoints
 )
 
 // Ledger is an open ledger. It is not safe for concurrent use.
 type Ledger struct {
 	log                *seglog.Log
-	segmentCapacity    int // bytes for records in a segment
-	liveBytes          int // space charged for all pending notifications
-	pending            map[string]*Pending
-	bySegment          map[int][]*Pending // by number of the segment that they were accepted or rewritten in
-	compactCursor      int                // index of the next notification to compact in the oldest segment
-	lastAcceptedSeq    int                // highest sequence number of an accepted notification
-	lastCallNumber     uint64             // highest call number in a record
-	rewrittenBytes     int                // total size of rewritten records
-	writesUntilReserve int                // writes until allocating the reserved files is retried
-	reserveErr         error              // why the reserved files could not be allocated
-	buf                []byte             // encoded records of the current write
-	recordBuf          []byte             // one encoded record of a batch
+	segmentCapacity    int                 // space for records in a segment, in bytes
+	liveBytes          int                 // space charged for all pending notifications, in bytes
+	pending            map[string]*Pending // by ID
+	bySegment          map[int][]*Pending  // by number of the segment that they were accepted or rewritten in
+	compactCursor      int                 // index of the next notification to compact in the oldest segment
+	lastAcceptedSeq    int                 // highest sequence number of an accepted notification
+	lastCallNumber     uint64              // highest call number in a record
+	rewrittenBytes     int                 // total size of the records that compaction has rewritten
+	writesUntilReserve int                 // writes until allocating the reserved files is retried; 0 if it succeeded
+	reserveErr         error               // error of the last failed allocation of the reserved files
+	buf                []byte              // encoded records of the current write
+	recordBuf          []byte              // one encoded record of a batch
 }
 
 // Report describes what Open found.
@@ -54,8 +54,8 @@
 	seglog.Report
 	Migrated  int `json:"taken_over,omitempty"` // records migrated from the legacy file
 	Orphaned  int `json:"strangers,omitempty"`  // records ignored: undecodable, or of a notification that is completed or unknown
-	Pending   int `json:"owed"`
-	LiveBytes int `json:"live_bytes"`
+	Pending   int `json:"owed"`                 // number of pending notifications
+	LiveBytes int `json:"live_bytes"`           // space charged for pending notifications, in bytes
 }
 
 // segmentLayout returns the size and number of the segments for a folder of limit bytes.
@@ -73,8 +73,8 @@
 }
 
 // Open reads the ledger and returns the pending notifications in the order in which they were accepted. A call that was
-// open when its process ended counts as one that may have run. After a damaged range of the log, all notifications that
-// were pending there count as having a call that may have run.
+// open when its process ended counts as one that may have run. If a range of the log is damaged, all notifications that were
+// pending at that point of the log count as having a call that may have run.
 func Open(folder disk.Folder, options Options) (*Ledger, []Pending, Report, error) {
 	l := &Ledger{pending: map[string]*Pending{}, bySegment: map[int][]*Pending{}}
 	var report Report
@@ -147,9 +147,9 @@
 	return l.segmentCapacity / batchesPerSegment
 }
 
-// Write appends records atomically: either all of them are stored or none is, even if the write fails part-way, its
-// remains cannot be wiped and the process ends. Accepted records require the reserved free files, other records may use
-// them when the disk is full.
+// Write appends records atomically: either all of them are stored or none is, even if the write fails part-way, what it left
+// cannot be wiped, and the process then ends. Accepted records require the reserved files to be free; other records may use
+// these files when the disk is full. After an error, DiscardFailedWrite ensures that no later process reads the records.
 //
 // Atomicity ensures that a later process does not push a notification that was refused because its write failed.
 func (l *Ledger) Write(records ...Record) error {
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -9,7 +9,7 @@
 	"orchiddrift/message"
 )
 
-// Kind is the kind of a record. The values are part of the storage format.
+// Kind is the kind of a record. Its values are part of the storage format.
 type Kind byte
 
 // Kinds of records.
@@ -23,7 +23,7 @@
 	Batch                          // several records, stored atomically
 )
 
-// Record is one entry of the ledger. Field comments name the record kinds that use the field.
+// Record is one entry of the ledger. The field comments start with the kinds of records that use the field.
 type Record struct {
 	Kind       Kind
 	ID         string
@@ -41,6 +41,7 @@
 	size       int              // size of the encoded record, in bytes
 }
 
+// errTornRecord is returned for bytes that are not a complete and valid record.
 var errTornRecord = errors.New("torn or invalid record")
 
 // Records of earlier versions lack the fields added later: Accepted may end before Seq, or before RanZone and RanCall,
@@ -79,7 +80,7 @@
 	return b
 }
 
-// decode decodes a record. It does not retain b.
+// decode decodes a record. It does not retain b. A Batch within a Batch is invalid.
 func decode(b []byte) (Record, error) {
 	if len(b) == 0 {
 		return Record{}, errTornRecord
@@ -146,14 +147,17 @@
 	return r, legacyHeaderSize + n, err
 }
 
+// appendString appends the length of s, as a varint, and s.
 func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
+// appendFloat appends v in 8 bytes, little-endian.
 func appendFloat(b []byte, v float64) []byte {
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(v))
 }
 
+// encodeBool returns the encoding of a boolean: 1 for true, 0 for false.
 func encodeBool(set bool) byte {
 	if set {
 		return 1
@@ -161,12 +165,13 @@
 	return 0
 }
 
-// fieldReader reads the encoded fields of a record in order. truncated is set once the data ends within a field.
+// fieldReader reads the encoded fields of a record in order. After the end of the data, all fields are read as zero values.
 type fieldReader struct {
-	remaining []byte
-	truncated bool
+	remaining []byte // data not read yet
+	truncated bool   // the data ended within a field, or a field was invalid
 }
 
+// readUint reads a varint.
 func (f *fieldReader) readUint() uint64 {
 	v, n := binary.Uvarint(f.remaining)
 	if n <= 0 {
@@ -177,6 +182,7 @@
 	return v
 }
 
+// readString reads a string written by appendString.
 func (f *fieldReader) readString() string {
 	n := f.readUint()
 	if n > uint64(len(f.remaining)) {
@@ -188,6 +194,7 @@
 	return s
 }
 
+// readFloat reads a number written by appendFloat.
 func (f *fieldReader) readFloat() float64 {
 	if len(f.remaining) < 8 {
 		f.truncated, f.remaining = true, nil
--- a/ledger/restarts_test.go
+++ b/ledger/restarts_test.go
@@ -44,23 +44,26 @@
 	return ledger.Record{Kind: ledger.CallStarted, ID: "a", StartedAt: startedAt, Endpoint: endpoint, Zone: zone, CallNumber: call}
 }
 
+// callNotRun returns a record that a call of notification "a" never ran.
 func callNotRun(call uint64) ledger.Record {
 	return ledger.Record{Kind: ledger.CallNotRun, ID: "a", CallNumber: call}
 }
 
+// callMayHaveRun returns a record that a call of notification "a" may have run.
 func callMayHaveRun(call uint64) ledger.Record {
 	return ledger.Record{Kind: ledger.CallMayHaveRun, ID: "a", CallNumber: call}
 }
 
-// Restores a notification from the call records of several successive processes. Each list holds the records of one process,
-// which is followed by a restart. After the last one the ledger is read before and after compaction, with the same result.
+// A notification is restored from the call records of several successive processes. Each list holds the records of one
+// process, which is followed by a restart. After the last restart the ledger is read before and after compaction, with the
+// same result.
 func TestCallRecordsAcrossRestarts(t *testing.T) {
 	unsent := callNotRun(2)
 	unsent.Unsent = true
 	for name, c := range map[string]struct {
 		processes [][]ledger.Record
-		want      string // time, endpoint, zone and number of the first call that may have run; pushes
-		last      ledger.CallEnd
+		want      string         // time, endpoint, zone and number of the first call that may have run; number of pushes
+		last      ledger.CallEnd // end of the last call, before compaction
 	}{
 		"one call without an end":             {[][]ledger.Record{{callStarted(1, 1001, "e1", "a")}}, `1001 e1 a 1, 1 pushes`, ledger.EndUnanswered},
 		"an end without a call number":        {[][]ledger.Record{{callStarted(1, 1001, "e1", "a")}, {callNotRun(0)}}, `1001 e1 a 1, 1 pushes`, ledger.EndUnanswered},
@@ -112,8 +115,8 @@
 	}
 }
 
-// One process finds a damaged segment, so that a pending notification counts as one that may have run. This is still so
-// after later processes have rewritten the notification and released the damaged segment.
+// One process reads a damaged segment, so that a pending notification counts as one that may have run. It still does after
+// compaction has rewritten the notification and released the damaged segment, in that process and later ones.
 func TestDamageSurvivesCompaction(t *testing.T) {
 	folder := faulty.New()
 	l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
@@ -192,8 +195,8 @@
 	}
 }
 
-// A crash during a write of several records leaves any proper part of it. A restart restores none of the records, but all
-// those written before and after.
+// The process crashes during a write of several records, of which only the first bytes are stored, for each possible number
+// of bytes. A restart restores none of these records, but all those written before and after.
 func TestBatchIsAtomic(t *testing.T) {
 	const maxBytes = 1000 // more than the size of the write
 	for keptBytes := range maxBytes {
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -3,19 +3,19 @@
 import "orchiddrift/message"
 
 // unknownRunTime is the RanAt, in Unix seconds, of a push that may have run and whose record is lost. It is so long ago
-// that no endpoint still remembers the idempotency key.
+// that no endpoint still stores the idempotency key.
 const unknownRunTime = 1
 
-// Pending is a notification that was accepted and is not completed yet. Its seq is the position in the order of acceptance.
+// Pending is a notification that was accepted and is not completed yet.
 type Pending struct {
 	Message      *message.Message // with the number of pushes and the first call that may have run
 	Notice       *Record          // the notice that has to be answered, or nil if the notification still has to be pushed
 	LastCall     Call             // the last call, if its records are still stored
 	openCall     *Record          // the CallStarted record of the call without an end, or nil
-	seq          int
-	chargedBytes int // space charged for it
-	segment      int // number of the segment with its oldest record that is still needed
-	completed    bool
+	seq          int              // position in the order of acceptance
+	chargedBytes int              // space charged for the notification, in bytes
+	segment      int              // number of the segment with its oldest record that is still needed
+	completed    bool             // the notification is completed, or replaced by a rewritten record
 }
 
 // CallEnd describes how a call ended, according to its records.
@@ -24,7 +24,7 @@
 // Ends of a call.
 const (
 	EndNone       CallEnd = ""             // no call, or its records are no longer stored
-	EndUnanswered CallEnd = "unanswered"   // no end was recorded before the process ended
+	EndUnanswered CallEnd = "unanswered"   // its process ended before an end was recorded
 	EndNeverRan   CallEnd = "never ran"    // the call never ran
 	EndMayHaveRun CallEnd = "may have run" // the answer left open whether it ran, or there was none
 )
@@ -37,7 +37,7 @@
 	End       CallEnd
 }
 
-// State is the state of a pending notification.
+// State describes how far a pending notification has been processed.
 type State int
 
 // States of a pending notification.
@@ -66,7 +66,7 @@
 	return Untried
 }
 
-// apply updates the state in memory with a record of the given size in a segment.
+// apply updates the state in memory with a record of the given encoded size in a segment.
 func (l *Ledger) apply(r Record, segment, recordBytes int) {
 	p := l.pending[r.ID]
 	l.lastCallNumber = max(l.lastCallNumber, r.CallNumber)
@@ -111,7 +111,7 @@
 	l.bySegment[segment] = append(l.bySegment[segment], p)
 }
 
-// applyCallStarted applies the start of a call. A previous call that is still open is of a process that ended.
+// applyCallStarted applies the start of a call. If another call is still open, the process that made it has ended.
 func (p *Pending) applyCallStarted(r *Record) {
 	p.assumeOpenCallRan()
 	p.Message.Pushes++
@@ -119,7 +119,7 @@
 	p.LastCall = Call{Number: r.CallNumber, StartedAt: r.StartedAt, Endpoint: r.Endpoint, End: EndUnanswered}
 }
 
-// applyCallNotRun applies that a call never ran. It has no effect unless the call number matches the open call. A record
+// applyCallNotRun applies a record that a call never ran. It has no effect unless the call number matches the open call. A record
 // with another number, or none as in records of earlier versions, may be of a later process whose own call was not sent,
 // while the open call is of a process that was killed. The drawback concerns notifications left pending by an earlier
 // version: their calls that never ran count as ones that may have run.
@@ -135,7 +135,8 @@
 	}
 }
 
-// applyCallMayHaveRun applies that a call may have run. If the start of the call is not recorded, its time is unknown.
+// applyCallMayHaveRun applies a record that a call may have run. If the start of the call is not recorded, its time is
+// unknown.
 func (p *Pending) applyCallMayHaveRun(r Record) {
 	if p.openCall != nil && p.openCall.CallNumber == r.CallNumber {
 		p.markOpenCallMayHaveRun()
