--- a/intake/client.go
+++ b/intake/client.go
@@ -11,7 +11,7 @@
 	"orchiddrift/invariant"
 )
 
-// closeReason is why a client's connection was closed, as the log names it.
+// closeReason is the reason for closing a client's connection, as written to the log.
 type closeReason string
 
 // Reasons for closing a connection.
@@ -19,7 +19,7 @@
 	closedByClient    closeReason = "client left"
 	idleTimedOut      closeReason = "idle"            // idleTimeout passed without a request
 	afterLastResponse closeReason = "last answer"     // the last response announced Connection: close
-	badRequest        closeReason = "unreadable"      // the request was malformed or arrived too slowly
+	badRequest        closeReason = "unreadable"      // the request was malformed or not complete in time
 	evictedForRoom    closeReason = "made room"       // closed to admit another connection
 	serverStopping    closeReason = "planned stop"    // Server.Close was called
 	noneEvictable     closeReason = "all others busy" // not admitted: the limit was reached and no connection could be evicted
@@ -27,25 +27,27 @@
 
 // clientConn is a connection from a client. Reading from it and closing it for reading both happen under the lock of its
 // listener, so that they cannot overlap: once the first bytes of a request are read, the connection stays open until the
-// request is answered or turns out to be incomplete, and nothing is read from a connection that is closed for reading.
+// request is answered or turns out to be incomplete, and nothing is read from a connection that is closed for reading. The
+// lock guards all fields below listener.
 type clientConn struct {
 	net.Conn
-	rawConn              syscall.RawConn
+	rawConn              syscall.RawConn // nil if Conn is not a socket of the operating system
 	listener             *limitListener
-	readClosed           bool // closed for reading by this side
-	closed               bool // Close was called
-	evictedDuringRequest bool // closed for reading with a request begun: it is answered if the bytes read turn out to be all of it
-	reason               closeReason
-	requestStarted       bool   // bytes of the current request were read
-	requestComplete      bool   // the current request was read completely and passed to the handler
-	responded            bool   // the current request was answered: the next bytes belong to another one
-	servedBefore         bool   // a request on this connection was answered
-	lastActivity         int    // sequence number of the accept or the last response
-	requestID            string // of the last request that was read completely
+	readClosed           bool        // closed for reading by this side
+	closed               bool        // Close was called
+	evictedDuringRequest bool        // evicted after bytes of a request were read, which is answered if they are all of it
+	reason               closeReason // "" while there is no reason to close the connection
+	requestStarted       bool        // bytes of the current request were read
+	requestComplete      bool        // the current request was read completely and passed to the handler
+	responded            bool        // the current request was answered: the next bytes belong to another one
+	servedBefore         bool        // a request on this connection was answered
+	lastActivity         int         // limitListener.activityCount at the accept or the last response
+	requestID            string      // of the last request that was read completely
 	framer               framer
 	handledRequests      int // number of requests passed to the handler
 }
 
+// newClientConn returns the connection of a client that was accepted by a listener.
 func newClientConn(listener *limitListener, conn net.Conn) *clientConn {
 	c := &clientConn{Conn: conn, listener: listener}
 	if s, ok := conn.(syscall.Conn); ok {
@@ -99,8 +101,8 @@
 	return 0, io.EOF
 }
 
-// acceptBytes records bytes that were read and returns how many of them count: none if the connection is closed for reading,
-// which is reported as a violation.
+// acceptBytes records bytes that were read and returns how many of them may be used. If the connection is closed for reading,
+// it returns 0 and reports an invariant violation if there are any.
 func (c *clientConn) acceptBytes(b []byte) int {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
@@ -126,7 +128,7 @@
 	return n, err
 }
 
-// recordBytes records bytes that were read. The caller holds the lock.
+// recordBytes records bytes of a request that were read. The caller holds the lock.
 func (c *clientConn) recordBytes(b []byte) {
 	if len(b) > 0 {
 		c.requestStarted, c.responded = true, false
@@ -144,7 +146,7 @@
 	}
 }
 
-// Write writes a response.
+// Write writes bytes of a response and records that the current request was answered.
 func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.listener.lock.Lock()
@@ -155,7 +157,8 @@
 	return n, err
 }
 
-// SetReadDeadline sets the read deadline. It has no effect once the connection is closed for reading: a read must not wait then.
+// SetReadDeadline sets the read deadline. It has no effect once the connection is closed for reading, since a read must not
+// wait then.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
@@ -165,8 +168,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close is called by the HTTP server when it is done with the connection. It shuts down the write side and leaves the rest to
-// linger. It closes the connection at once if that was evicted with an incomplete request, or if too many are lingering.
+// Close is called by the HTTP server when it is done with the connection. It shuts down the write side and lets the connection
+// linger. It closes the connection at once if it was evicted with an incomplete request, or if too many connections linger.
 func (c *clientConn) Close() error {
 	l := c.listener
 	l.lock.Lock()
@@ -198,7 +201,8 @@
 	return nil
 }
 
-// markReadClosed marks the connection as closed for reading, with the reason if none is set yet. The caller holds the lock.
+// markReadClosed marks the connection as closed for reading, and sets the reason unless there is one. The caller holds the
+// lock.
 func (c *clientConn) markReadClosed(reason closeReason) {
 	c.readClosed = true
 	c.setReason(reason)
@@ -217,14 +221,14 @@
 	return !c.readClosed && (!c.requestStarted || !c.requestComplete && !c.responded)
 }
 
-// closeWrite shuts down the write side only.
+// closeWrite shuts down the write side, if the connection supports that. The read side stays open.
 func (c *clientConn) closeWrite() {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = halfCloser.CloseWrite()
 	}
 }
 
-// interruptRead makes a pending read return.
+// interruptRead makes a pending read return, by setting a read deadline in the past.
 func (c *clientConn) interruptRead() { _ = c.Conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // requestReceived records that a request was read completely. ok reports whether the request may be processed, which it may
@@ -245,15 +249,15 @@
 	return true, c.evictedDuringRequest || c.listener.established > c.listener.maxConns/keepAliveDivisor
 }
 
-// stopCounting records that a request could not be parsed: the bounds of the requests after it cannot be determined.
+// stopCounting stops counting the requests after one that could not be parsed, since their bounds cannot be determined.
 func (c *clientConn) stopCounting() {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
 	c.framer.failed = true
 }
 
-// hasPipelinedRequests reports whether further complete requests were read after the one being handled. They would stay
-// without a response if the connection were closed after this one's.
+// hasPipelinedRequests reports whether further complete requests were read after the one being handled. They would get no
+// response if the connection were closed after the response to this one.
 func (c *clientConn) hasPipelinedRequests() bool {
 	c.listener.lock.Lock()
 	defer c.listener.lock.Unlock()
@@ -265,15 +269,16 @@
 	return !c.framer.failed && c.framer.completed > c.handledRequests
 }
 
-// hasUnreadBytes reports whether bytes have arrived that were not read yet. Many connections may be accepted before the first
-// of them is read, and evicting one would drop a request that arrived completely. The cost is that a client that keeps sending
-// faster than the server reads cannot be evicted.
+// hasUnreadBytes reports whether bytes have arrived that were not read yet. Such a connection is not evicted: many connections
+// may be accepted before the first of them is read, and the bytes may be a complete request. The drawback is that a client
+// that sends faster than the server reads cannot be evicted.
 func (c *clientConn) hasUnreadBytes() bool {
 	n, _ := c.peek()
 	return n > 0
 }
 
-// peek returns 1 if bytes have arrived, else 0 and the error that a read would return. 0 and no error is the end of the stream.
+// peek returns 1 if bytes have arrived, else 0 and the error that a read would return. 0 without an error means the end of the
+// stream.
 func (c *clientConn) peek() (n int, err error) {
 	if c.rawConn == nil {
 		return 0, syscall.EAGAIN
@@ -284,8 +289,8 @@
 	return max(0, n), errors.Join(err, controlErr)
 }
 
-// peerClosed reports whether the client has closed its side or the connection broke. With discard, it reads and drops the
-// bytes before the end of the stream.
+// peerClosed reports whether the client has closed its side or the connection broke. With discard, it first reads and drops
+// the bytes that have arrived.
 func (c *clientConn) peerClosed(discard bool) bool {
 	if discard && c.rawConn != nil {
 		return c.discardUntilClosed()
--- a/intake/clients.go
+++ b/intake/clients.go
@@ -15,32 +15,32 @@
 
 const (
 	// keepAliveDivisor sets the share of connections, 1/keepAliveDivisor of maxConns, that may stay open after a response.
-	// Beyond it connections are closed with their response, so that clients that send one request and stay connected do not
-	// use up the connections.
+	// Beyond this share, connections are closed with their response, so that clients that send one request and stay connected
+	// do not use up the connections.
 	keepAliveDivisor = 3
 	// lingerDivisor sets how many connections, maxConns/lingerDivisor but at least one, may linger besides the open ones.
 	lingerDivisor = 8
 	// lingerTimeout is the longest time that a connection lingers.
 	lingerTimeout = 500 * time.Millisecond
-	// retryDelay is the pause after a failed accept, and between two looks at the connections while the server stops.
+	// retryDelay is the pause after a failed accept, and between two checks of the connections while the server stops.
 	retryDelay = 10 * time.Millisecond
 )
 
 // limitListener is a listener that limits the number of open connections. When the limit is reached, a new connection evicts
 // one that has no complete request in progress: the oldest of those that never sent a complete request, else the one idle
-// for longest. Thus clients that connect and send nothing or only part of a request cannot lock out the others. A client that
-// is slow with its first request may be evicted while hundreds of others connect.
+// for longest. Thus clients that connect and send nothing or only part of a request cannot lock out the others. The drawback
+// is that a client that is slow with its first request may be evicted while hundreds of others connect.
 type limitListener struct {
 	net.Listener
 	maxConns      int
 	log           zerolog.Logger
 	invariants    *invariant.Counters
-	lock          sync.Mutex
-	open          map[*clientConn]bool
-	established   int  // open connections that have sent a complete request
-	lingering     int  // connections, not among the open ones, that wait for their client to close
-	activityCount int  // source of clientConn.lastActivity
-	stopping      bool // the server is stopping: no connection is accepted, and any number may linger
+	lock          sync.Mutex           // guards the fields below, those of the connections, and assigning Listener
+	open          map[*clientConn]bool // accepted connections that are neither closed nor evicted
+	established   int                  // open connections that have sent a complete request
+	lingering     int                  // connections, not among the open ones, that wait for their client to close
+	activityCount int                  // number of accepted connections and responses; source of clientConn.lastActivity
+	stopping      bool                 // the server is stopping: no connection is accepted, and any number may linger
 }
 
 // Accept waits for the next connection. It returns an error only if the listener is closed: it retries after the failure of
@@ -83,7 +83,8 @@
 	return true
 }
 
-// evictOne closes one evictable connection and reports whether there was any.
+// evictOne closes one evictable connection and reports whether there was any. If bytes of a request were read from it, it only
+// interrupts reading, and the HTTP server closes the connection.
 func (l *limitListener) evictOne() bool {
 	l.lock.Lock()
 	var victim *clientConn
@@ -99,7 +100,7 @@
 	victim.markReadClosed(evictedForRoom)
 	l.remove(victim)
 	midRequest := victim.requestStarted
-	if victim.evictedDuringRequest = midRequest; midRequest { // the request may be complete by now: the HTTP server closes the connection
+	if victim.evictedDuringRequest = midRequest; midRequest { // the bytes read may be the whole request
 		victim.interruptRead()
 	}
 	l.lock.Unlock()
@@ -109,8 +110,8 @@
 	return true
 }
 
-// closeIdle marks the listener as stopping, closes all connections that have no request in progress, and returns the number
-// of connections that are left, including the lingering ones.
+// closeIdle marks the listener as stopping, closes all connections that have no request in progress and no unread bytes, and
+// returns the number of connections that are left, including the lingering ones and those being closed.
 func (l *limitListener) closeIdle() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -146,10 +147,10 @@
 		errors.Is(err, syscall.ENOMEM)
 }
 
-// linger keeps a connection whose write side is shut down until the client closes its side or lingerTimeout passes. Closing a
-// socket that holds unread bytes resets the connection, which can destroy a response on its way. After an answered request
-// nothing more is read: the client can see that later requests were not processed and send them elsewhere. With discard, the
-// rest of a request that could not be parsed is read and dropped, since that request was already answered.
+// linger keeps a connection whose write side is shut down open until the client closes its side or lingerTimeout passes.
+// Closing a socket that holds unread bytes resets the connection, which can destroy a response on its way. After an answered
+// request nothing more is read: the client can see that later requests were not processed and send them elsewhere. With
+// discard, the rest of a request that could not be parsed is read and dropped, since that request was already answered.
 func (l *limitListener) linger(c *clientConn, discard bool) {
 	b := newBackoff(lingerTimeout)
 	for b.wait() {
@@ -166,16 +167,17 @@
 // backoff paces polling with increasing delays for a limited total time.
 type backoff struct {
 	deadline time.Time
-	delay    time.Duration
+	delay    time.Duration // before the next poll
 }
 
+// newBackoff returns a backoff that allows polling for the given total time from now.
 func newBackoff(total time.Duration) *backoff {
 	return &backoff{deadline: time.Now().Add(total), delay: time.Millisecond}
 }
 
-// wait sleeps and reports whether to poll again. It is false once the total time has passed.
+// wait sleeps and reports whether to poll again, which is false once the total time has passed.
 func (b *backoff) wait() bool {
-	const maxDelay = 64 * time.Millisecond
+	const maxDelay = 64 * time.Millisecond // longest delay between two polls
 	remaining := time.Until(b.deadline)
 	if remaining <= 0 {
 		return false
--- a/intake/clients_test.go
+++ b/intake/clients_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// When the connection limit is reached, a connection whose request has arrived but was not read yet must be kept: evicting it
+// When the connection limit is reached, a connection whose request has arrived but was not read yet must not be evicted, which
 // would drop the request. The silent connection is evicted although it is newer.
 func Example_unreadRequest() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -20,11 +20,11 @@
 	silent := dialAndAccept(listener)
 	time.Sleep(20 * time.Millisecond) // the request arrives over loopback within this time
 	third := dialAndAccept(listener)
-	fmt.Println("closed: asks", closedByPeer(withRequest), "silent", closedByPeer(silent))
+	fmt.Println("closed: with request", closedByPeer(withRequest), "silent", closedByPeer(silent))
 	runtime.KeepAlive(listener) // keeps the accepted connections from being collected
 	runtime.KeepAlive(third)
 	// Output:
-	// closed: asks false silent true
+	// closed: with request false silent true
 }
 
 // dialAndAccept connects and accepts the connection without reading from it.
--- a/intake/closing_test.go
+++ b/intake/closing_test.go
@@ -21,6 +21,7 @@
 	"orchiddrift/invariant"
 )
 
+// validRequest is a complete request with a message.
 const validRequest = "POST /api HTTP/1.1\r\nHost: a\r\nX-Call-Id: a1\r\nX-Call-Class: order\r\nX-Budget: 480m\r\nX-Addressing: dest=7\r\n" +
 	"Content-Length: 2\r\n\r\nhi"
 
@@ -28,9 +29,10 @@
 type testServer struct {
 	*Server
 	net.Listener
-	accepted chan string
+	accepted chan string // IDs of the accepted messages
 }
 
+// newTestServer returns a server for at most 10 connections that listens, but does not serve yet.
 func newTestServer(t *testing.T) *testServer {
 	t.Helper()
 	ts := &testServer{accepted: make(chan string, 99)}
@@ -46,8 +48,10 @@
 	return ts
 }
 
+// serve starts to accept connections.
 func (ts *testServer) serve() { go func() { _ = ts.Server.Serve(ts.Listener) }() }
 
+// dial connects to the server.
 func (ts *testServer) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", ts.Listener.Addr().String())
@@ -69,6 +73,7 @@
 	}
 }
 
+// connCounts returns the numbers of open and of lingering connections.
 func (ts *testServer) connCounts() (open, lingering int) {
 	ts.listener.lock.Lock()
 	defer ts.listener.lock.Unlock()
@@ -96,8 +101,8 @@
 // A request whose bytes are read just as its connection is evicted, or closed by a planned stop, must be answered. If it were
 // read and the connection closed without a response, the request would be lost unless its client sends it elsewhere.
 func readRequestIsAnswered(t *testing.T) {
-	for name, interfere := range map[string]func(*testServer){"room": func(ts *testServer) { ts.listener.evictOne() },
-		"stop": func(ts *testServer) { go func() { _ = ts.Server.Close() }(); time.Sleep(150 * time.Millisecond) }} {
+	for name, interfere := range map[string]func(*testServer){"eviction": func(ts *testServer) { ts.listener.evictOne() },
+		"planned stop": func(ts *testServer) { go func() { _ = ts.Server.Close() }(); time.Sleep(150 * time.Millisecond) }} {
 		ts := newTestServer(t)
 		ts.httpServer.ConnState = func(conn net.Conn, s fasthttp.ConnState) {
 			if s == fasthttp.StateActive { // the request was read: no unread bytes protect the connection any more
@@ -203,7 +208,7 @@
 		if resp := readResponse(t, conn); resp.StatusCode != http.StatusBadRequest {
 			t.Error(resp.StatusCode)
 		}
-		if _, lingering := ts.connCounts(); lingering > 1 { // lingerDivisor of 10 connections
+		if _, lingering := ts.connCounts(); lingering > 1 { // 10 connections / lingerDivisor
 			t.Errorf("%d connections linger, want at most 1", lingering)
 		}
 	}
@@ -223,7 +228,7 @@
 	waitFor(t, "the connection has stopped lingering", func() bool { _, lingering := ts.connCounts(); return lingering == 0 })
 }
 
-// failingListener is a listener whose next accepts fail.
+// failingListener is a listener whose next accepts, as many as failures, fail with err.
 type failingListener struct {
 	net.Listener
 	failures atomic.Int32
@@ -237,7 +242,7 @@
 	return l.Listener.Accept()
 }
 
-// An accept error that Linux documents must not end the listener, whichever it is.
+// None of the errors that Linux documents for accept may end the server.
 func TestAcceptErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.ENETDOWN,
 		syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
@@ -322,7 +327,7 @@
 	}
 }
 
-// The count of requests must not depend on how the bytes are split. A malformed request ends the count.
+// The number of requests counted must not depend on how the bytes are split into reads. Counting ends at a malformed request.
 func TestFramer(t *testing.T) {
 	chunked := "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n"
 	for text, want := range map[string]int{"GET / HTTP/1.1\r\n\r\n": 1, validRequest: 1, validRequest + validRequest: 2, chunked: 1, chunked + validRequest + chunked: 3,
--- a/intake/framer.go
+++ b/intake/framer.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// framer counts the complete requests in the bytes read from a connection. The HTTP server reads ahead, and drops what it has
-// read after a request if it closes the connection with the response. The framing follows RFC 9112. If the end of a request
-// cannot be determined, counting stops.
+// framer counts the complete requests in the bytes read from a connection. This is needed since the HTTP server reads ahead,
+// and drops what it has read after a request if it closes the connection with the response. The framing follows RFC 9112. If
+// the end of a request cannot be determined, counting stops.
 type framer struct {
 	head      []byte // incomplete head of the current request
-	bodyLeft  int    // bytes of the current body or chunk still to come
+	bodyLeft  int    // bytes of the current body or chunk that were not read yet
 	chunked   bool   // the current body is chunked
 	inTrailer bool   // in the trailer section of a chunked body
 	line      []byte // incomplete chunk-size or trailer line
@@ -19,7 +19,7 @@
 	completed int    // complete requests so far
 }
 
-// feed processes bytes that were read.
+// feed processes the next bytes that were read.
 func (f *framer) feed(b []byte) {
 	for len(b) > 0 && !f.failed {
 		switch {
@@ -37,7 +37,7 @@
 	}
 }
 
-// feedHead processes bytes of a head and returns those after it.
+// feedHead processes bytes of a head and returns those after the head.
 func (f *framer) feedHead(b []byte) []byte {
 	if len(f.head) == 0 {
 		b = bytes.TrimLeft(b, "\r\n") // empty lines before a request are ignored
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// parseHead determines from a complete head where its request ends.
+// parseHead determines from a complete head where its request ends, and counts the request if it has no body.
 func (f *framer) parseHead() {
 	length, hasLength := 0, false
 	for line := range strings.SplitSeq(string(f.head), "\n") {
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	maxBodyBytes            = 64 << 10
-	maxHeadBytes            = 4 << 10
+	maxBodyBytes            = 64 << 10                // largest body of a request
+	maxHeadBytes            = 4 << 10                 // largest head of a request
 	idleTimeout             = 2200 * time.Millisecond // how long a connection may stay idle between requests
-	ioTimeout               = 2 * time.Second         // for reading a request, from the accept or its first byte, and for writing a response
+	ioTimeout               = 2 * time.Second         // for reading a request, from the accept or its first byte; for a response
 	badRequestLogsPerSecond = 10                      // further bad requests of the same second are not logged
 )
 
 // Server is the HTTP server for clients.
 type Server struct {
-	clock              func() float64
-	ttl                func(topic string) (float64, bool)
-	submit             func(gateway.Event)
-	badRequestLog      zerolog.Logger // for bad requests; rate limited
-	debugLog           zerolog.Logger // for each request and connection, at debug level
+	clock              func() float64                     // current time in seconds
+	ttl                func(topic string) (float64, bool) // TTL of a topic in seconds, and whether the topic is known
+	submit             func(gateway.Event)                // passes an event to the gateway
+	badRequestLog      zerolog.Logger                     // for bad requests; rate limited
+	debugLog           zerolog.Logger                     // for each request and connection, at debug level
 	httpServer         *fasthttp.Server
 	listener           *limitListener
-	closeAfterResponse atomic.Bool
+	closeAfterResponse atomic.Bool     // keep-alives are disabled
 	writeMetrics       func(io.Writer) // writes further metrics at /_metrics; may be nil
 }
 
-// NewServer returns a server that passes each message to submit and keeps at most maxConns connections open. The clock returns
-// the current time in seconds, and ttl returns the TTL of a topic in seconds and whether the topic is known.
+// NewServer returns a server that passes each message to submit as a gateway.Arrived, and keeps at most maxConns connections
+// open. clock returns the current time in seconds, and ttl returns the TTL of a topic in seconds and whether the topic is known.
 func NewServer(clock func() float64, ttl func(string) (float64, bool), submit func(gateway.Event), maxConns int,
 	log zerolog.Logger) *Server {
 	s := &Server{clock: clock, ttl: ttl, submit: submit, debugLog: log,
@@ -69,7 +69,7 @@
 	return s.httpServer.Serve(s.listener)
 }
 
-// DisableKeepAlives closes each connection after its next response, so that clients connect elsewhere.
+// DisableKeepAlives makes the server close each connection after its next response, so that clients connect elsewhere.
 func (s *Server) DisableKeepAlives() { s.closeAfterResponse.Store(true) }
 
 // Close stops accepting connections and requests. It answers the requests that it has begun to read, and returns once the
@@ -101,14 +101,14 @@
 	ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 }
 
-// handle routes a request.
+// handle answers a request according to its path and method.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	ok, closeAfter := ctx.Conn().(*clientConn).requestReceived(string(ctx.Request.Header.Peek("X-Call-Id")))
 	if (closeAfter || s.closeAfterResponse.Load()) && !ctx.Conn().(*clientConn).hasPipelinedRequests() {
 		ctx.SetConnectionClose()
 	}
 	switch path := string(ctx.Path()); {
-	case !ok: // the client does not receive the response, so accepting the message would deliver it without the client's knowledge
+	case !ok: // the client does not receive the response: a message must not be accepted and delivered without its knowledge
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	case path == "/_health" && ctx.IsGet():
 		ctx.SetStatusCode(fasthttp.StatusOK)
@@ -127,7 +127,7 @@
 	}
 }
 
-// acceptMessage submits the message of a request and answers whether it was accepted.
+// acceptMessage submits the message of a request to the gateway, waits for the reply, and answers the request accordingly.
 func (s *Server) acceptMessage(ctx *fasthttp.RequestCtx) {
 	m, err := s.decode(ctx)
 	if err != nil {
@@ -177,7 +177,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m.ExpiresAt = s.clock() + min(budget, ttl) // a mistaken budget must not hold a message for days
+	m.ExpiresAt = s.clock() + min(budget, ttl) // a mistaken budget must not keep a message pending for days
 	return m, nil
 }
 
@@ -193,9 +193,10 @@
 	return seen["content-length"] && seen["transfer-encoding"]
 }
 
+// isSeparator reports whether r separates the name=value pairs of X-Addressing.
 func isSeparator(r rune) bool { return r == ' ' || r == ',' || r == ';' }
 
-// parseBudget parses a time, a number followed by m for milliseconds or u for microseconds, and returns it in seconds.
+// parseBudget parses a duration, a number followed by m for milliseconds or u for microseconds, and returns it in seconds.
 func parseBudget(text string) (float64, error) {
 	unitsPerSecond := map[string]float64{"m": 1e3, "u": 1e6}
 	if n := len(text) - 1; n > 0 {
@@ -207,7 +208,7 @@
 	return 0, fmt.Errorf("X-Budget cannot be %q", text)
 }
 
-// discardLogger discards the log lines of fasthttp: a client that disconnects is not worth logging.
+// discardLogger discards the log lines of fasthttp, since a client that disconnects needs no log line.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -16,6 +16,7 @@
 	"orchiddrift/intake"
 )
 
+// validRequest is a complete request with a message. sendAndPrint changes its line ends to CRLF.
 const validRequest = "POST /api HTTP/1.1\nHost: origin.svc\nX-Call-Id: a1\nX-Call-Class: order\nX-Caller: acme\n" +
 	"Cookie: about=7f3a\nX-Budget: 480m\nIdempotency-Key: 5c0f\nContent-Length: 5\nX-Addressing: dest=7\n\nhello"
 
@@ -26,6 +27,7 @@
 	return startServerOn(listen(), manyConns, reply)
 }
 
+// listen returns a listener on loopback.
 func listen() net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,6 +36,7 @@
 	return ln
 }
 
+// startServerOn starts a server on a listener. It prints each message and gives the same reply to all.
 func startServerOn(ln net.Listener, maxConns int, reply gateway.Reply) (*intake.Server, string) {
 	ttl := func(topic string) (float64, bool) { return 9, topic == "order" }
 	s := intake.NewServer(func() float64 { return 1000 }, ttl, func(e gateway.Event) {
@@ -173,16 +176,19 @@
 	return &readNotifyConn{TCPConn: conn.(*net.TCPConn), read: l.read}, nil
 }
 
+// readNotifyConn is a connection of a readNotifyListener.
 type readNotifyConn struct {
 	*net.TCPConn
 	read chan bool
 }
 
+// SyscallConn returns the raw connection, whose reads are reported.
 func (c *readNotifyConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
 	return readNotifyRawConn{raw, c.read}, err
 }
 
+// readNotifyRawConn is the raw connection of a readNotifyConn.
 type readNotifyRawConn struct {
 	syscall.RawConn
 	read chan bool
