--- a/intake/client.go
+++ b/intake/client.go
@@ -186,9 +186,9 @@
 		c.setReason(badRequest)
 	}
 	c.markReadClosed(afterLastResponse)
-	linger := !(c.evictedDuringRequest && !c.requestComplete) && (l.stopping || l.lingering < max(1, l.maxConns/lingerDivisor))
+	linger := !(c.evictedDuringRequest && !c.requestComplete) && (l.stopping || l.lingeringCount < max(1, l.maxConns/lingerDivisor))
 	if linger {
-		l.lingering++
+		l.lingeringCount++
 	}
 	reason, requestID := c.reason, c.requestID
 	l.lock.Unlock()
@@ -242,11 +242,11 @@
 		return false, true
 	}
 	if c.listener.open[c] && !c.servedBefore && !c.requestComplete {
-		c.listener.established++
+		c.listener.establishedCount++
 	}
 	c.requestComplete, c.responded = true, false
 	c.handledRequests++
-	return true, c.evictedDuringRequest || c.listener.established > c.listener.maxConns/keepAliveDivisor
+	return true, c.evictedDuringRequest || c.listener.establishedCount > c.listener.maxConns/keepAliveDivisor
 }
 
 // stopCounting stops counting the requests after one that could not be parsed, since their bounds cannot be determined.
@@ -266,7 +266,7 @@
 
 // hasPipelinedRequestsLocked is hasPipelinedRequests for callers that hold the lock.
 func (c *clientConn) hasPipelinedRequestsLocked() bool {
-	return !c.framer.failed && c.framer.completed > c.handledRequests
+	return !c.framer.failed && c.framer.completedRequests > c.handledRequests
 }
 
 // hasUnreadBytes reports whether bytes have arrived that were not read yet. Such a connection is not evicted: many connections
--- a/intake/clients.go
+++ b/intake/clients.go
@@ -32,15 +32,15 @@
 // is that a client that is slow with its first request may be evicted while hundreds of others connect.
 type limitListener struct {
 	net.Listener
-	maxConns      int
-	log           zerolog.Logger
-	invariants    *invariant.Counters
-	lock          sync.Mutex           // guards the fields below, those of the connections, and assigning Listener
-	open          map[*clientConn]bool // accepted connections that are neither closed nor evicted
-	established   int                  // open connections that have sent a complete request
-	lingering     int                  // connections, not among the open ones, that wait for their client to close
-	activityCount int                  // number of accepted connections and responses; source of clientConn.lastActivity
-	stopping      bool                 // the server is stopping: no connection is accepted, and any number may linger
+	maxConns         int
+	log              zerolog.Logger
+	invariants       *invariant.Counters
+	lock             sync.Mutex           // guards the fields below, those of the connections, and assigning Listener
+	open             map[*clientConn]bool // accepted connections that are neither closed nor evicted
+	establishedCount int                  // open connections that have sent a complete request
+	lingeringCount   int                  // connections, not among the open ones, that wait for their client to close
+	activityCount    int                  // number of accepted connections and responses; source of clientConn.lastActivity
+	stopping         bool                 // the server is stopping: no connection is accepted, and any number may linger
 }
 
 // Accept waits for the next connection. It returns an error only if the listener is closed: it retries after the failure of
@@ -123,13 +123,13 @@
 			c.interruptRead()
 		}
 	}
-	return len(l.open) + l.lingering
+	return len(l.open) + l.lingeringCount
 }
 
 // remove removes a connection from the open ones. The caller holds the lock.
 func (l *limitListener) remove(c *clientConn) {
 	if l.open[c] && (c.servedBefore || c.requestComplete) {
-		l.established--
+		l.establishedCount--
 	}
 	delete(l.open, c)
 }
@@ -160,19 +160,19 @@
 	}
 	_ = c.Conn.Close()
 	l.lock.Lock()
-	l.lingering--
+	l.lingeringCount--
 	l.lock.Unlock()
 }
 
 // backoff paces polling with increasing delays for a limited total time.
 type backoff struct {
-	deadline time.Time
-	delay    time.Duration // before the next poll
+	deadline  time.Time
+	nextDelay time.Duration // before the next poll
 }
 
 // newBackoff returns a backoff that allows polling for the given total time from now.
 func newBackoff(total time.Duration) *backoff {
-	return &backoff{deadline: time.Now().Add(total), delay: time.Millisecond}
+	return &backoff{deadline: time.Now().Add(total), nextDelay: time.Millisecond}
 }
 
 // wait sleeps and reports whether to poll again, which is false once the total time has passed.
@@ -182,8 +182,8 @@
 	if remaining <= 0 {
 		return false
 	}
-	time.Sleep(min(b.delay, remaining))
-	b.delay = min(2*b.delay, maxDelay)
+	time.Sleep(min(b.nextDelay, remaining))
+	b.nextDelay = min(2*b.nextDelay, maxDelay)
 	return true
 }
 
--- a/intake/closing_test.go
+++ b/intake/closing_test.go
@@ -77,7 +77,7 @@
 func (ts *testServer) connCounts() (open, lingering int) {
 	ts.listener.lock.Lock()
 	defer ts.listener.lock.Unlock()
-	return len(ts.listener.open), ts.listener.lingering
+	return len(ts.listener.open), ts.listener.lingeringCount
 }
 
 // readResponse reads one response.
@@ -338,8 +338,8 @@
 			for rest := text; rest != ""; rest = rest[min(piece, len(rest)):] {
 				f.feed([]byte(rest[:min(piece, len(rest))]))
 			}
-			if f.completed != want {
-				t.Fatalf("%q in pieces of %d bytes: got %d requests, want %d", text, piece, f.completed, want)
+			if f.completedRequests != want {
+				t.Fatalf("%q in pieces of %d bytes: got %d requests, want %d", text, piece, f.completedRequests, want)
 			}
 		}
 	}
--- a/intake/framer.go
+++ b/intake/framer.go
@@ -10,13 +10,13 @@
 // and drops what it has read after a request if it closes the connection with the response. The framing follows RFC 9112. If
 // the end of a request cannot be determined, counting stops.
 type framer struct {
-	head      []byte // incomplete head of the current request
-	bodyLeft  int    // bytes of the current body or chunk that were not read yet
-	chunked   bool   // the current body is chunked
-	inTrailer bool   // in the trailer section of a chunked body
-	line      []byte // incomplete chunk-size or trailer line
-	failed    bool   // request bounds can no longer be determined
-	completed int    // complete requests so far
+	head              []byte // incomplete head of the current request
+	bodyLeft          int    // bytes of the current body or chunk that were not read yet
+	chunked           bool   // the current body is chunked
+	inTrailer         bool   // in the trailer section of a chunked body
+	line              []byte // incomplete chunk-size or trailer line
+	failed            bool   // request bounds can no longer be determined
+	completedRequests int    // complete requests so far
 }
 
 // feed processes the next bytes that were read.
@@ -27,7 +27,7 @@
 			n := min(f.bodyLeft, len(b))
 			f.bodyLeft, b = f.bodyLeft-n, b[n:]
 			if f.bodyLeft == 0 && !f.chunked {
-				f.completed++
+				f.completedRequests++
 			}
 		case f.chunked:
 			b = f.feedChunkLine(b)
@@ -76,7 +76,7 @@
 	if f.bodyLeft = length; f.chunked {
 		f.bodyLeft = 0
 	} else if length == 0 {
-		f.completed++
+		f.completedRequests++
 	}
 }
 
@@ -93,7 +93,7 @@
 	switch {
 	case f.inTrailer && line == "":
 		f.chunked, f.inTrailer = false, false
-		f.completed++
+		f.completedRequests++
 	case f.inTrailer, line == "": // a trailer field, or the line end after a chunk
 	default:
 		size, _, _ := strings.Cut(line, ";")
--- a/ledger/compact.go
+++ b/ledger/compact.go
@@ -16,12 +16,12 @@
 )
 
 // compact rewrites part of the oldest segment, in proportion to the size of the write that follows, and allocates the
-// reserved files. accepts reports whether the write contains an Accepted record, for which the reserved files must be free.
+// reserved files. hasAccepted reports whether the write contains an Accepted record, for which the reserved files must be free.
 // The work is bounded by the size of the write or, if too few files are free, by one pass over the segments.
-func (l *Ledger) compact(writtenBytes int, accepts bool) error {
+func (l *Ledger) compact(writtenBytes int, hasAccepted bool) error {
 	l.reserve()
 	budget, wantFree := max(minRewriteBytes, rewriteBytesPerByteWritten*writtenBytes), 1
-	if accepts {
+	if hasAccepted {
 		wantFree = reservedFiles
 	}
 	for newest := l.log.NewestSegment(); l.log.UsedFiles() > 1 && l.log.OldestSegment() <= newest && l.shouldCompact(); {
@@ -33,7 +33,7 @@
 			break
 		}
 	}
-	if accepts && !l.reserve() {
+	if hasAccepted && !l.reserve() {
 		return l.reserveErr
 	}
 	return nil
--- a/ledger/export_test.go
+++ b/ledger/export_test.go
@@ -11,7 +11,7 @@
 	for _, r := range records {
 		encoded := encode(nil, r)
 		if r.Kind == Accepted {
-			encoded = encoded[:len(encoded)-1] // the legacy format has no Seq, which is 0 here and takes one byte
+			encoded = encoded[:len(encoded)-1] // the legacy format has no AcceptedSeq, which is 0 here and takes one byte
 		}
 		b = binary.LittleEndian.AppendUint32(b, uint32(len(encoded)))
 		b = binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(encoded))
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -52,10 +52,10 @@
 // Report describes what Open found.
 type Report struct {
 	seglog.Report
-	Migrated  int `json:"taken_over,omitempty"` // records migrated from the legacy file
-	Orphaned  int `json:"strangers,omitempty"`  // records ignored: undecodable, or of a notification that is completed or unknown
-	Pending   int `json:"owed"`                 // number of pending notifications
-	LiveBytes int `json:"live_bytes"`           // space charged for pending notifications, in bytes
+	Migrated       int `json:"taken_over,omitempty"` // records migrated from the legacy file
+	IgnoredRecords int `json:"strangers,omitempty"`  // records that are undecodable, or of a completed or unknown notification
+	Pending        int `json:"owed"`                 // number of pending notifications
+	LiveBytes      int `json:"live_bytes"`           // space charged for pending notifications, in bytes
 }
 
 // segmentLayout returns the size and number of the segments for a folder of limit bytes.
@@ -94,7 +94,7 @@
 		func(segment int, b []byte) {
 			r, err := decode(b)
 			if err != nil || r.Kind != Accepted && r.Kind != Batch && l.pending[r.ID] == nil {
-				report.Orphaned++
+				report.IgnoredRecords++
 				return
 			}
 			l.apply(r, segment, len(b))
@@ -153,16 +153,16 @@
 //
 // Atomicity ensures that a later process does not push a notification that was refused because its write failed.
 func (l *Ledger) Write(records ...Record) error {
-	accepts := false
+	hasAccepted := false
 	for i := range records {
-		if r := &records[i]; r.Kind == Accepted && r.Seq == 0 {
+		if r := &records[i]; r.Kind == Accepted && r.AcceptedSeq == 0 {
 			l.lastAcceptedSeq++
-			r.Seq = l.lastAcceptedSeq
+			r.AcceptedSeq = l.lastAcceptedSeq
 		}
-		accepts = accepts || records[i].Kind == Accepted
+		hasAccepted = hasAccepted || records[i].Kind == Accepted
 	}
 	l.encode(records)
-	if err := l.compact(len(l.buf)+seglog.RecordOverhead, accepts); err != nil && accepts {
+	if err := l.compact(len(l.buf)+seglog.RecordOverhead, hasAccepted); err != nil && hasAccepted {
 		return err
 	}
 	segment, err := l.log.Append(l.buf)
@@ -173,7 +173,7 @@
 		return fmt.Errorf("ledger: %w", err)
 	}
 	for _, r := range records {
-		l.apply(r, segment, r.size)
+		l.apply(r, segment, r.encodedBytes)
 	}
 	return nil
 }
@@ -187,13 +187,13 @@
 	l.buf = l.buf[:0]
 	if len(records) == 1 {
 		l.buf = encode(l.buf, records[0])
-		records[0].size = len(l.buf)
+		records[0].encodedBytes = len(l.buf)
 		return
 	}
 	l.buf = appendString(append(l.buf, byte(Batch)), "")
 	for i := range records {
 		l.recordBuf = encode(l.recordBuf[:0], records[i])
-		records[i].size = len(l.recordBuf)
+		records[i].encodedBytes = len(l.recordBuf)
 		l.buf = append(binary.AppendUvarint(l.buf, uint64(len(l.recordBuf))), l.recordBuf...)
 	}
 }
@@ -215,6 +215,6 @@
 	for _, p := range l.pending {
 		list = append(list, p)
 	}
-	slices.SortFunc(list, func(a, b *Pending) int { return cmp.Compare(a.seq, b.seq) })
+	slices.SortFunc(list, func(a, b *Pending) int { return cmp.Compare(a.acceptedSeq, b.acceptedSeq) })
 	return list
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -25,26 +25,26 @@
 
 // Record is one entry of the ledger. The field comments start with the kinds of records that use the field.
 type Record struct {
-	Kind       Kind
-	ID         string
-	Message    *message.Message // Accepted
-	StartedAt  float64          // CallStarted: start of the call, in seconds of the dispatcher's clock
-	Endpoint   string           // CallStarted: ID of the endpoint
-	Zone       string           // CallStarted: zone of the endpoint, as listed at that time
-	CallNumber uint64           // CallStarted, CallNotRun, CallMayHaveRun: 0 in records of versions without call numbers
-	Unsent     bool             // CallNotRun: nothing of the call was sent, so that it does not count as a push
-	Outcome    string           // NoticePending: outcome that the notice reports
-	RetryIn    float64          // NoticePending: seconds, 0 for none
-	Pushes     int              // Accepted: pushes so far, when rewritten by compaction
-	Seq        int              // Accepted: position in the order of acceptance; 0 if not assigned yet
-	Parts      []Record         // Batch
-	size       int              // size of the encoded record, in bytes
+	Kind         Kind
+	ID           string
+	Message      *message.Message // Accepted
+	StartedAt    float64          // CallStarted: start of the call, in seconds of the dispatcher's clock
+	Endpoint     string           // CallStarted: ID of the endpoint
+	Zone         string           // CallStarted: zone of the endpoint, as listed at that time
+	CallNumber   uint64           // CallStarted, CallNotRun, CallMayHaveRun: 0 in records of versions without call numbers
+	Unsent       bool             // CallNotRun: nothing of the call was sent, so that it does not count as a push
+	Outcome      string           // NoticePending: outcome that the notice reports
+	RetryIn      float64          // NoticePending: seconds, 0 for none
+	Pushes       int              // Accepted: pushes so far, when rewritten by compaction
+	AcceptedSeq  int              // Accepted: position in the order of acceptance; 0 if not assigned yet
+	Parts        []Record         // Batch
+	encodedBytes int              // size of the encoded record, in bytes
 }
 
 // errTornRecord is returned for bytes that are not a complete and valid record.
 var errTornRecord = errors.New("torn or invalid record")
 
-// Records of earlier versions lack the fields added later: Accepted may end before Seq, or before RanZone and RanCall,
+// Records of earlier versions lack the fields added later: Accepted may end before AcceptedSeq, or before RanZone and RanCall,
 // CallStarted before Zone, CallNotRun and CallMayHaveRun before CallNumber. Earlier versions ignore the additional fields.
 
 // encode appends the encoded record to b.
@@ -60,7 +60,7 @@
 		b = append(binary.AppendUvarint(b, uint64(len(m.Body))), m.Body...)
 		b = appendFloat(appendFloat(b, m.ExpiresAt), m.RanAt)
 		b = binary.AppendUvarint(b, uint64(r.Pushes))
-		b = binary.AppendUvarint(b, uint64(r.Seq))
+		b = binary.AppendUvarint(b, uint64(r.AcceptedSeq))
 		if m.RanAt > 0 {
 			b = binary.AppendUvarint(appendString(b, m.RanZone), m.RanCall)
 		}
@@ -96,8 +96,8 @@
 		}
 		m.Body = []byte(f.readString())
 		m.ExpiresAt, m.RanAt = f.readFloat(), f.readFloat()
-		if r.Message, r.Pushes = m, int(f.readUint()); len(f.remaining) > 0 { // the legacy file has no Seq
-			r.Seq = int(f.readUint())
+		if r.Message, r.Pushes = m, int(f.readUint()); len(f.remaining) > 0 { // the legacy file has no AcceptedSeq
+			r.AcceptedSeq = int(f.readUint())
 		}
 		if len(f.remaining) > 0 {
 			m.RanZone, m.RanCall = f.readString(), f.readUint()
@@ -109,7 +109,7 @@
 			if err != nil || part.Kind == Batch {
 				return Record{}, errTornRecord
 			}
-			part.size = len(encoded)
+			part.encodedBytes = len(encoded)
 			r.Parts = append(r.Parts, part)
 		}
 	case CallStarted:
--- a/ledger/restarts_test.go
+++ b/ledger/restarts_test.go
@@ -205,7 +205,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range []ledger.Record{accepted("before", 5), {Kind: ledger.Completed, ID: "unknown"}} { // also allocates the reserved files
+		// The write of the Completed record also allocates the reserved files.
+		for _, r := range []ledger.Record{accepted("before", 5), {Kind: ledger.Completed, ID: "unknown"}} {
 			if err := l.Write(r); err != nil {
 				t.Fatal(err)
 			}
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -12,7 +12,7 @@
 	Notice       *Record          // the notice that has to be answered, or nil if the notification still has to be pushed
 	LastCall     Call             // the last call, if its records are still stored
 	openCall     *Record          // the CallStarted record of the call without an end, or nil
-	seq          int              // position in the order of acceptance
+	acceptedSeq  int              // position in the order of acceptance
 	chargedBytes int              // space charged for the notification, in bytes
 	segment      int              // number of the segment with its oldest record that is still needed
 	completed    bool             // the notification is completed, or replaced by a rewritten record
@@ -44,7 +44,7 @@
 const (
 	Untried          State = iota // no call was started
 	Tried                         // calls were started, but none of them ran
-	Uncertain                     // a call may have run
+	MayHaveRun                    // a call may have run
 	NoticeUnanswered              // the notice was not answered yet
 )
 
@@ -59,7 +59,7 @@
 	case p.Notice != nil:
 		return NoticeUnanswered
 	case p.Message.RanAt > 0:
-		return Uncertain
+		return MayHaveRun
 	case p.Message.Pushes > 0:
 		return Tried
 	}
@@ -73,7 +73,7 @@
 	switch {
 	case r.Kind == Batch:
 		for _, part := range r.Parts {
-			l.apply(part, segment, part.size)
+			l.apply(part, segment, part.encodedBytes)
 		}
 	case r.Kind == Accepted:
 		l.applyAccepted(r, segment, recordBytes)
@@ -101,11 +101,11 @@
 	}
 	m := *r.Message
 	m.Pushes = r.Pushes
-	if r.Seq == 0 {
-		r.Seq = l.lastAcceptedSeq + 1
+	if r.AcceptedSeq == 0 {
+		r.AcceptedSeq = l.lastAcceptedSeq + 1
 	}
-	l.lastAcceptedSeq = max(l.lastAcceptedSeq, r.Seq)
-	p := &Pending{Message: &m, seq: r.Seq, chargedBytes: l.chargedBytes(recordBytes), segment: segment}
+	l.lastAcceptedSeq = max(l.lastAcceptedSeq, r.AcceptedSeq)
+	p := &Pending{Message: &m, acceptedSeq: r.AcceptedSeq, chargedBytes: l.chargedBytes(recordBytes), segment: segment}
 	l.pending[r.ID] = p
 	l.liveBytes += p.chargedBytes
 	l.bySegment[segment] = append(l.bySegment[segment], p)
@@ -177,7 +177,7 @@
 
 // minimalRecords returns the fewest records from which the state of the notification can be restored.
 func (p *Pending) minimalRecords() []Record {
-	list := []Record{{Kind: Accepted, ID: p.Message.ID, Message: p.Message, Pushes: p.Message.Pushes, Seq: p.seq}}
+	list := []Record{{Kind: Accepted, ID: p.Message.ID, Message: p.Message, Pushes: p.Message.Pushes, AcceptedSeq: p.acceptedSeq}}
 	if p.openCall != nil {
 		list[0].Pushes--
 		list = append(list, *p.openCall)
--- a/seglog/seglog.go
+++ b/seglog/seglog.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// Version is the version of the segment format. Segments of another version are not read.
-	Version = 1
+	// FormatVersion is the version of the segment format. Segments of another version are not read.
+	FormatVersion = 1
 
 	magic            = "ODLG" // first bytes of a segment file that has been used
 	HeaderSize       = 24     // bytes of a segment's header: magic, version, segment number, base sequence number, checksum
@@ -168,8 +168,8 @@
 	if string(b[:4]) != magic || crc32.Checksum(b[:HeaderSize-4], crcTable) != binary.LittleEndian.Uint32(b[HeaderSize-4:]) {
 		return nil // never used, or the header write was interrupted: the segment holds no records
 	}
-	if b[4] != Version {
-		return fmt.Errorf("%w: got %d, want %d", ErrVersion, b[4], Version)
+	if b[4] != FormatVersion {
+		return fmt.Errorf("%w: got %d, want %d", ErrVersion, b[4], FormatVersion)
 	}
 	s.number = int(binary.LittleEndian.Uint32(b[8:]))
 	return nil
@@ -366,7 +366,7 @@
 	s := l.free[0]
 	b := make([]byte, HeaderSize)
 	copy(b, magic)
-	b[4] = Version
+	b[4] = FormatVersion
 	binary.LittleEndian.PutUint32(b[8:], uint32(l.lastSegmentNumber+1))
 	binary.LittleEndian.PutUint64(b[12:], l.lastGoodSeq)
 	binary.LittleEndian.PutUint32(b[HeaderSize-4:], crc32.Checksum(b[:HeaderSize-4], crcTable))
