--- a/clock/clock.go
+++ b/clock/clock.go
@@ -114,7 +114,8 @@
 	return offset, known, nil
 }
 
-// formatOffsetLine returns the content of the offset file, a single line: the boot ID, the offset in seconds, and a CRC-32 of both.
+// formatOffsetLine returns the content of the offset file, a single line: the boot ID, the offset in seconds, and a CRC-32 of
+// both.
 func formatOffsetLine(bootID string, offset float64) string {
 	text := fmt.Sprintf("%s %.9f", bootID, offset)
 	return fmt.Sprintf("%s %08x\n", text, crc32.ChecksumIEEE([]byte(text)))
--- a/disk/faulty/faulty.go
+++ b/disk/faulty/faulty.go
@@ -25,7 +25,7 @@
 	SyncErr                error                   // if set, returned by each file sync
 	FailWritesAfterSyncErr bool                    // once a file sync has failed, all later writes fail with the same error
 	Syncs                  int                     // number of file syncs so far
-	CrashAtWrite           int                     // number of the write or remove, from 1, at which the process crashes; 0 for never
+	CrashAtWrite           int                     // number, from 1, of the write or remove at which the process crashes; 0 for none
 	CrashKeepBytes         int                     // bytes of that write that are stored nevertheless
 	Writes                 int                     // number of writes and removes so far
 	LongestWrite           int                     // size of the longest write, in bytes
