--- a/intake/client.go
+++ b/intake/client.go
@@ -35,7 +35,7 @@
 	listener             *limitListener
 	readClosed           bool        // closed for reading by this side
 	closed               bool        // Close was called
-	evictedDuringRequest bool        // evicted after bytes of a request were read, which is answered if they are all of it
+	evictedDuringRequest bool        // evicted with a request partly or completely read; a complete one is still answered
 	reason               closeReason // "" while there is no reason to close the connection
 	requestStarted       bool        // bytes of the current request were read
 	requestComplete      bool        // the current request was read completely and passed to the handler
--- a/intake/clients.go
+++ b/intake/clients.go
@@ -147,7 +147,7 @@
 		errors.Is(err, syscall.ENOMEM)
 }
 
-// linger keeps a connection whose write side is shut down open until the client closes its side or lingerTimeout passes.
+// linger keeps a connection open after its write side was shut down, until the client closes its side or lingerTimeout passes.
 // Closing a socket that holds unread bytes resets the connection, which can destroy a response on its way. After an answered
 // request nothing more is read: the client can see that later requests were not processed and send them elsewhere. With
 // discard, the rest of a request that could not be parsed is read and dropped, since that request was already answered.
--- a/intake/closing_test.go
+++ b/intake/closing_test.go
@@ -235,6 +235,7 @@
 	err      error // EMFILE if nil
 }
 
+// Accept fails, or accepts the next connection.
 func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", cmp.Or(l.err, error(syscall.EMFILE)))}
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -168,6 +168,7 @@
 	read chan bool
 }
 
+// Accept accepts the next connection, whose reads are reported.
 func (l readNotifyListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -182,7 +183,7 @@
 	read chan bool
 }
 
-// SyscallConn returns the raw connection, whose reads are reported.
+// SyscallConn returns the raw connection, which reports its reads.
 func (c *readNotifyConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
 	return readNotifyRawConn{raw, c.read}, err
--- a/ledger/compact.go
+++ b/ledger/compact.go
@@ -11,7 +11,7 @@
 const (
 	minRewriteBytes            = 2048 // smallest compaction budget of a write, in bytes
 	rewriteBytesPerByteWritten = 2    // compaction budget per byte of a write, in bytes
-	reserveRetryWrites         = 32   // number of writes between attempts to allocate the reserved files
+	reserveRetryWrites         = 32   // number of writes between attempts to allocate the reserved files after a failure
 	minUsedToLiveRatio         = 2    // ratio of used to live bytes above which compaction runs
 )
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -24,7 +24,7 @@
 const (
 	folderOverheadBytes = 4096     // part of the limit that is left for the directory itself
 	targetSegments      = 48       // number of segments, unless they would be smaller than minSegmentBytes
-	minSegmentBytes     = 72 << 10 // holds a message with its body
+	minSegmentBytes     = 72 << 10 // so that a message with the largest body fits
 	maxSegmentBytes     = 4 << 20  // larger segments bring no benefit
 	minSegments         = 8        // smallest number of segments that the ledger works with
 	reservedFiles       = 2        // free files kept so that pending notifications can be completed while the disk is full
--- a/seglog/seglog.go
+++ b/seglog/seglog.go
@@ -20,7 +20,7 @@
 	// FormatVersion is the version of the segment format. Segments of another version are not read.
 	FormatVersion = 1
 
-	magic            = "ODLG" // first bytes of a segment file that has been used
+	magic            = "ODLG" // first bytes of the header of a segment in use
 	HeaderSize       = 24     // bytes of a segment's header: magic, version, segment number, base sequence number, checksum
 	recordHeaderSize = 16     // bytes of a record's header: length, checksum, sequence number
 	fileNamePrefix   = "segment-"
@@ -425,7 +425,7 @@
 	return nil
 }
 
-// removeFile closes and removes a file without records. Errors are ignored, since the next Open lists a remaining file again.
+// removeFile closes and removes a file without records. Errors are ignored, since the next Open finds a remaining file again.
 func (l *Log) removeFile(s *segment) {
 	_ = s.file.Close()
 	_ = l.folder.Remove(s.name)
