--- a/disk/faulty/faulty.go
+++ b/disk/faulty/faulty.go
@@ -31,7 +31,7 @@
 	LongestWrite           int                     // size of the longest write, in bytes
 	WrittenBytes           int                     // total size of all writes, in bytes
 	files                  map[string]*fileContent // by name
-	crashed                bool                    // the process has crashed: all operations fail with ErrCrashed
+	crashed                bool                    // the process has crashed: later operations return ErrCrashed
 }
 
 // fileContent is the content of a file, shared by the open files of it.
