--- a/ledger/state.go
+++ b/ledger/state.go
@@ -3,19 +3,19 @@
 import "orchiddrift/message"
 
 // unknownRunTime is the RanAt, in Unix seconds, of a push that may have run and whose record is lost. It is so long ago
-// that no endpoint still remembers the idempotency key.
+// that no endpoint still stores the idempotency key.
 const unknownRunTime = 1
 
-// Pending is a notification that was accepted and is not completed yet. Its seq is the position in the order of acceptance.
+// Pending is a notification that was accepted and is not completed yet.
 type Pending struct {
 	Message      *message.Message // with the number of pushes and the first call that may have run
 	Notice       *Record          // the notice that has to be answered, or nil if the notification still has to be pushed
 	LastCall     Call             // the last call, if its records are still stored
 	openCall     *Record          // the CallStarted record of the call without an end, or nil
-	seq          int
-	chargedBytes int // space charged for it
-	segment      int // number of the segment with its oldest record that is still needed
-	completed    bool
+	acceptedSeq  int              // position in the order of acceptance
+	chargedBytes int              // space charged for the notification, in bytes
+	segment      int              // number of the segment with its oldest record that is still needed
+	completed    bool             // the notification is completed, or replaced by a rewritten record
 }
 
 // CallEnd describes how a call ended, according to its records.
@@ -24,7 +24,7 @@
 // Ends of a call.
 const (
 	EndNone       CallEnd = ""             // no call, or its records are no longer stored
-	EndUnanswered CallEnd = "unanswered"   // no end was recorded before the process ended
+	EndUnanswered CallEnd = "unanswered"   // its process ended before an end was recorded
 	EndNeverRan   CallEnd = "never ran"    // the call never ran
 	EndMayHaveRun CallEnd = "may have run" // the answer left open whether it ran, or there was none
 )
@@ -37,14 +37,14 @@
 	End       CallEnd
 }
 
-// State is the state of a pending notification.
+// State describes how far a pending notification has been processed.
 type State int
 
 // States of a pending notification.
 const (
 	Untried          State = iota // no call was started
 	Tried                         // calls were started, but none of them ran
-	Uncertain                     // a call may have run
+	MayHaveRun                    // a call may have run
 	NoticeUnanswered              // the notice was not answered yet
 )
 
@@ -59,24 +59,24 @@
 	case p.Notice != nil:
 		return NoticeUnanswered
 	case p.Message.RanAt > 0:
-		return Uncertain
+		return MayHaveRun
 	case p.Message.Pushes > 0:
 		return Tried
 	}
 	return Untried
 }
 
-// apply updates the state in memory with a record of the given size in a segment.
-func (l *Ledger) apply(r Record, segment, bytes int) {
+// apply updates the state in memory with a record of the given encoded size in a segment.
+func (l *Ledger) apply(r Record, segment, recordBytes int) {
 	p := l.pending[r.ID]
 	l.lastCallNumber = max(l.lastCallNumber, r.CallNumber)
 	switch {
 	case r.Kind == Batch:
 		for _, part := range r.Parts {
-			l.apply(part, segment, part.size)
+			l.apply(part, segment, part.encodedBytes)
 		}
 	case r.Kind == Accepted:
-		l.applyAccepted(r, segment, bytes)
+		l.applyAccepted(r, segment, recordBytes)
 	case p == nil: // already completed
 	case r.Kind == CallStarted:
 		p.applyCallStarted(&r)
@@ -94,24 +94,24 @@
 }
 
 // applyAccepted adds a notification, or replaces it if the record was rewritten by compaction.
-func (l *Ledger) applyAccepted(r Record, segment, bytes int) {
+func (l *Ledger) applyAccepted(r Record, segment, recordBytes int) {
 	if replaced := l.pending[r.ID]; replaced != nil {
 		l.liveBytes -= replaced.chargedBytes
 		replaced.completed, replaced.Message = true, nil
 	}
 	m := *r.Message
 	m.Pushes = r.Pushes
-	if r.Seq == 0 {
-		r.Seq = l.lastSeq + 1
+	if r.AcceptedSeq == 0 {
+		r.AcceptedSeq = l.lastAcceptedSeq + 1
 	}
-	l.lastSeq = max(l.lastSeq, r.Seq)
-	p := &Pending{Message: &m, seq: r.Seq, chargedBytes: l.chargedBytes(bytes), segment: segment}
+	l.lastAcceptedSeq = max(l.lastAcceptedSeq, r.AcceptedSeq)
+	p := &Pending{Message: &m, acceptedSeq: r.AcceptedSeq, chargedBytes: l.chargedBytes(recordBytes), segment: segment}
 	l.pending[r.ID] = p
 	l.liveBytes += p.chargedBytes
 	l.bySegment[segment] = append(l.bySegment[segment], p)
 }
 
-// applyCallStarted applies the start of a call. A previous call that is still open is of a process that ended.
+// applyCallStarted applies the start of a call. If another call is still open, the process that made it has ended.
 func (p *Pending) applyCallStarted(r *Record) {
 	p.assumeOpenCallRan()
 	p.Message.Pushes++
@@ -119,7 +119,7 @@
 	p.LastCall = Call{Number: r.CallNumber, StartedAt: r.StartedAt, Endpoint: r.Endpoint, End: EndUnanswered}
 }
 
-// applyCallNotRun applies that a call never ran. It has no effect unless the call number matches the open call. A record
+// applyCallNotRun applies a record that a call never ran. It has no effect unless the call number matches the open call. A record
 // with another number, or none as in records of earlier versions, may be of a later process whose own call was not sent,
 // while the open call is of a process that was killed. The drawback concerns notifications left pending by an earlier
 // version: their calls that never ran count as ones that may have run.
@@ -135,7 +135,8 @@
 	}
 }
 
-// applyCallMayHaveRun applies that a call may have run. If the start of the call is not recorded, its time is unknown.
+// applyCallMayHaveRun applies a record that a call may have run. If the start of the call is not recorded, its time is
+// unknown.
 func (p *Pending) applyCallMayHaveRun(r Record) {
 	if p.openCall != nil && p.openCall.CallNumber == r.CallNumber {
 		p.markOpenCallMayHaveRun()
@@ -176,7 +177,7 @@
 
 // minimalRecords returns the fewest records from which the state of the notification can be restored.
 func (p *Pending) minimalRecords() []Record {
-	list := []Record{{Kind: Accepted, ID: p.Message.ID, Message: p.Message, Pushes: p.Message.Pushes, Seq: p.seq}}
+	list := []Record{{Kind: Accepted, ID: p.Message.ID, Message: p.Message, Pushes: p.Message.Pushes, AcceptedSeq: p.acceptedSeq}}
 	if p.openCall != nil {
 		list[0].Pushes--
 		list = append(list, *p.openCall)
