--- a/dispatcher/config.go
+++ b/dispatcher/config.go
@@ -13,7 +13,7 @@
 	"orchiddrift/settings"
 )
 
-// config is the dispatcher's configuration: the file that ROUTER_CONFIG names and the other ROUTER_ variables.
+// config is the dispatcher's configuration, read from the file that ROUTER_CONFIG names and the other ROUTER_ variables.
 type config struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -25,28 +25,29 @@
 	Ledger    struct {
 		Sync string `json:"sync"`
 	} `json:"ledger"`
-	state  string
-	values *settings.Values
+	stateDir string           // path of the folder that outlives the process, from ROUTER_STATE
+	values   *settings.Values // the parsed Settings
 }
 
-// limits are the resources that the process may use.
+// limits are the resources that the process may use. 1 MB is 1e6 bytes.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-	DiskMB   float64 `json:"disk_mb"`
+	Sockets  int     `json:"sockets"` // file descriptors
+	DiskMB   float64 `json:"disk_mb"` // size of the ledger
 }
 
-// Values of ledger.sync: when ledger records are synced to disk. syncNone never syncs, for a folder that outlives the
-// process without it; syncBatch syncs once for all events handled together; syncAlways syncs for each event.
+// Values of ledger.sync: when ledger records are synced to disk. syncNone, the default, never syncs and suits a folder whose
+// contents survive the process without it. syncBatch syncs once for all events handled together, syncAlways for each event.
 const (
 	syncNone   = "none"
 	syncBatch  = "batch"
 	syncAlways = "always"
 )
 
-// loadConfig reads the file that ROUTER_CONFIG names. The other ROUTER_ variables take precedence over the file, except
-// for the discovery address: a reload has to be able to change it, and a process's variables stay the same.
+// loadConfig reads and checks the configuration. The ROUTER_ variables take precedence over the file, except that
+// ROUTER_DISCOVERY is used only if the file has no discovery address: a reload has to be able to change the address, and a
+// process's variables stay the same.
 func loadConfig(system System) (*config, error) {
 	path := system.Getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -61,7 +62,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for name, field := range map[string]*string{"ROUTER_NAME": &cfg.Name, "ROUTER_LISTEN": &cfg.Listen,
-		"ROUTER_DISCOVERY": &cfg.Discovery, "ROUTER_STATE": &cfg.state} {
+		"ROUTER_DISCOVERY": &cfg.Discovery, "ROUTER_STATE": &cfg.stateDir} {
 		if v := system.Getenv(name); v != "" && (*field == "" || field != &cfg.Discovery) {
 			*field = v
 		}
@@ -84,7 +85,7 @@
 	return cfg, nil
 }
 
-// seed returns the seed: the value of up to 16 hex digits, or a hash of any other text.
+// seed returns the scheduler's seed: the value of Seed if it consists of up to 16 hex digits, or else its hash.
 func (c *config) seed() uint64 {
 	if v, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return v
@@ -94,21 +95,24 @@
 	return hash.Sum64()
 }
 
-// components is what the settings configure. Times are in seconds.
+// components holds the scheduler and the other parameters that the settings define. Times are in seconds.
 type components struct {
 	scheduler         *decide.Scheduler
-	separateRoutes    map[string]bool
-	batchSizes        map[string]int
-	dialTimeout, tick float64
-	drainGrace        float64 // calls may start for this long after the endpoint is listed as leaving
+	separateRoutes    map[string]bool // by kind: each endpoint is a separate route
+	batchSizes        map[string]int  // by kind: maximum number of notifications in a call
+	dialTimeout, tick float64         // tick is the minimum time between two rounds
+	drainGrace        float64         // calls may start for this long after the endpoint is listed as leaving
 }
 
-// defaultDrainGrace is the drain grace in seconds if the settings have none.
+// defaultDrainGrace is the drain grace, in seconds, if the settings do not set it.
 const defaultDrainGrace = 0.5
 
+// build returns the components, with a scheduler that reads endpoints from dir. The error names the first setting that is
+// missing or invalid.
 func (c *config) build(dir *directory.Directory) (parts components, err error) {
 	if parts.scheduler, err = c.values.NewScheduler(c.seed(), dir); err == nil {
-		parts.separateRoutes, parts.batchSizes, parts.dialTimeout, parts.tick = c.values.SeparateRoutes(), c.values.BatchSizes(), c.values.Seconds("policy-limits.dial-timeout-ms"), c.values.Seconds("tick-ms")
+		parts.separateRoutes, parts.batchSizes, parts.dialTimeout, parts.tick = c.values.SeparateRoutes(), c.values.BatchSizes(),
+			c.values.Seconds("policy-limits.dial-timeout-ms"), c.values.Seconds("tick-ms")
 		parts.drainGrace = c.values.FloatOr("guarantees.stop-sending-within-ms", defaultDrainGrace*1000) / 1000
 		err = c.values.Err()
 	}
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -24,30 +24,30 @@
 	"orchiddrift/push"
 )
 
-// Phases of a graceful stop, counted from SIGTERM: clients are accepted until stopIntakeAfter, pushes start until
-// stopPushesAfter, and pushes that are still out may end until exitAfter.
+// Phases of a graceful stop, counted from SIGTERM or SIGINT: notifications are accepted until stopIntakeAfter, pushes start
+// until stopPushesAfter, and pushes that are still out may end until exitAfter.
 const (
 	stopIntakeAfter = 500 * time.Millisecond
 	stopPushesAfter = 2200 * time.Millisecond
 	exitAfter       = 3400 * time.Millisecond
 )
 
-// firstListTimeout is how long after the start pushes wait for the first list from discovery.
+// firstListTimeout is the maximum time after the start for which pushes wait for the first list from discovery.
 const firstListTimeout = 500 * time.Millisecond
 
 // eventQueueSize is the maximum number of events queued for the gateway's loop.
 const eventQueueSize = 1024
 
-// Run runs a dispatcher on the host until SIGTERM, SIGINT or an error. It reads the ROUTER_ variables with getenv and
-// logs as logOptions say.
+// Run runs a dispatcher on the host until SIGTERM, SIGINT or an error. It reads the ROUTER_ variables with getenv. It
+// returns nil after a stop by a signal.
 func Run(getenv func(string) string, logOptions LogOptions) error {
 	return RunOn(HostSystem(getenv), logOptions)
 }
 
 // RunOn runs a dispatcher on a system until SIGTERM, SIGINT or an error. It returns nil after a stop by a signal.
 func RunOn(system System, logOptions LogOptions) error {
-	// Signals are handled before anything else: a SIGHUP may arrive as soon as the process exists and would terminate it.
-	// One that arrives during the start reloads the configuration afterwards.
+	// Signal handling is set up first, because a SIGHUP may arrive as soon as the process exists and would terminate it.
+	// A SIGHUP that arrives during the start reloads the configuration afterwards.
 	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(stopSignals)
@@ -55,10 +55,10 @@
 	defer signal.Stop(reloadSignals)
 
 	signal.Ignore(syscall.SIGPIPE) // otherwise a closed log pipe terminates the process
-	start := &starter{stopSignals: stopSignals, log: logOptions.logger().With().Timestamp().Logger(), startedAt: time.Now()}
+	startup := &startupSequence{stopSignals: stopSignals, log: logOptions.logger().With().Timestamp().Logger(), startedAt: time.Now()}
 
 	var cfg *config
-	err := start.retry("configuration", func() (err error) { cfg, err = loadConfig(system); return err })
+	err := startup.retry("configuration", func() (err error) { cfg, err = loadConfig(system); return err })
 	if err != nil {
 		return ignoreStopped(err)
 	}
@@ -71,17 +71,17 @@
 	if err != nil {
 		return err
 	}
-	start.enableLog(log)
+	startup.enableLog(log)
 	dir.Replace(cfg.Known.Endpoints())
 	var state *persistentState
-	if err := start.retry("folder", func() (err error) { state, err = openState(system, cfg, log); return err }); err != nil {
+	if err := startup.retry("folder", func() (err error) { state, err = openState(system, cfg, log); return err }); err != nil {
 		return ignoreStopped(err)
 	}
 	defer state.folder.Close()
 
 	agent := platform.NewAgent(cfg.Discovery, cfg.Known.Version, log)
-	runner := &gateway.Runner{Gateway: gateway.New(parts.scheduler, dir, state.ledger.HasRoom, parts.separateRoutes, parts.batchSizes, parts.dialTimeout), Ledger: state.ledger,
-		Platform: agent, Clock: state.clock, Tick: parts.tick, Log: log, Events: make(chan gateway.Event, eventQueueSize),
+	runner := &gateway.Runner{Gateway: gateway.New(parts.scheduler, dir, state.ledger.HasRoom, parts.separateRoutes, parts.batchSizes, parts.dialTimeout),
+		Ledger: state.ledger, Platform: agent, Clock: state.clock, Tick: parts.tick, Log: log, Events: make(chan gateway.Event, eventQueueSize),
 		WritePerEvent: cfg.Ledger.Sync == syncAlways, Dialer: push.Dialer(system.Dial), Metrics: gateway.NewMetrics()}
 	invariants := &invariant.Counters{Log: log, Strict: system.PanicOnViolation}
 	firstListBy := state.clock() + firstListTimeout.Seconds()
@@ -100,7 +100,7 @@
 		return err
 	}
 	if err == nil {
-		start.recordStep("listener")
+		startup.recordStep("listener")
 	}
 	server := intake.NewServer(state.clock, parts.scheduler.TTL, runner.Post, descriptorLimit(cfg.Limits.Sockets)/2, log)
 	server.SetMetrics(invariants, runner.Metrics.Write)
@@ -111,12 +111,12 @@
 		stopLoop()
 	}
 	go func() {
-		// The address may become available only after seconds. Pending notifications are pushed in the meantime.
+		// Listening may fail for some seconds if the address is still in use. Pending notifications are pushed meanwhile.
 		if ln == nil {
-			err = start.retry("listener", func() (err error) { ln, err = system.Listen(cfg.Listen); return err })
+			err = startup.retry("listener", func() (err error) { ln, err = system.Listen(cfg.Listen); return err })
 		}
 		switch {
-		case errors.Is(err, errStoppedDuringStart):
+		case errors.Is(err, errStoppedDuringStartup):
 		case err != nil:
 			fail(err)
 			return
@@ -143,13 +143,13 @@
 
 // ignoreStopped returns err, or nil if the start was interrupted by a stop signal.
 func ignoreStopped(err error) error {
-	if errors.Is(err, errStoppedDuringStart) {
+	if errors.Is(err, errStoppedDuringStartup) {
 		return nil
 	}
 	return err
 }
 
-// stop carries out a graceful stop.
+// stop carries out the phases of a graceful stop. It returns after exitAfter.
 func stop(server *intake.Server, runner *gateway.Runner, stopLoop func()) {
 	startedAt := time.Now()
 	server.DisableKeepAlives()
@@ -164,30 +164,32 @@
 	stopLoop()
 }
 
-// A configuration that cannot be read or is incomplete is read again every reloadRetryInterval until reloadRetryFor has
-// passed or the next SIGHUP arrives.
+// After a SIGHUP, a configuration that cannot be read or is invalid, such as an incomplete file, is read again every
+// reloadRetryInterval until reloadRetryTimeout has passed or the next SIGHUP arrives.
 const (
-	reloadRetryFor      = 3 * time.Second
+	reloadRetryTimeout  = 3 * time.Second
 	reloadRetryInterval = 100 * time.Millisecond
 )
 
-// watchReloads reloads the configuration on each SIGHUP. An invalid configuration changes nothing.
-func watchReloads(signals <-chan os.Signal, system System, old *config, agent *platform.Agent, log zerolog.Logger) {
+// watchReloads reloads the configuration on each SIGHUP. An invalid configuration changes nothing. initial is the
+// configuration at the start.
+func watchReloads(signals <-chan os.Signal, system System, initial *config, agent *platform.Agent, log zerolog.Logger) {
 	for range signals {
 		startedAt := time.Now()
-		err := reload(system, old, agent, log)
+		err := reload(system, initial, agent, log)
 		if err != nil {
-			log.Error().Err(err).Dur("again_for", reloadRetryFor).Msg("configuration not reloaded; keeping the current one")
+			log.Error().Err(err).Dur("again_for", reloadRetryTimeout).Msg("configuration not reloaded; keeping the current one")
 		}
-		for err != nil && time.Since(startedAt) < reloadRetryFor && len(signals) == 0 {
+		for err != nil && time.Since(startedAt) < reloadRetryTimeout && len(signals) == 0 {
 			time.Sleep(reloadRetryInterval)
-			err = reload(system, old, agent, log)
+			err = reload(system, initial, agent, log)
 		}
 	}
 }
 
-// reload reads the configuration again and applies the discovery address. All other changes need a restart.
-func reload(system System, old *config, agent *platform.Agent, log zerolog.Logger) error {
+// reload reads the configuration again and applies the discovery address. Other changes need a restart: it logs a warning
+// if the configuration differs from initial in any of them.
+func reload(system System, initial *config, agent *platform.Agent, log zerolog.Logger) error {
 	cfg, err := loadConfig(system)
 	if err != nil {
 		return err
@@ -197,8 +199,8 @@
 	}
 	moved := agent.SetAddr(cfg.Discovery)
 	log.Info().Str("discovery", cfg.Discovery).Bool("moved", moved).Msg("configuration reloaded")
-	if cfg.Name != old.Name || cfg.Listen != old.Listen || cfg.state != old.state || cfg.Limits != old.Limits || cfg.Ledger != old.Ledger ||
-		!bytes.Equal(cfg.Settings, old.Settings) {
+	if cfg.Name != initial.Name || cfg.Listen != initial.Listen || cfg.stateDir != initial.stateDir || cfg.Limits != initial.Limits ||
+		cfg.Ledger != initial.Ledger || !bytes.Equal(cfg.Settings, initial.Settings) {
 		log.Warn().Msg("configuration changes other than discovery need a restart")
 	}
 	return nil
--- a/dispatcher/logs.go
+++ b/dispatcher/logs.go
@@ -8,14 +8,14 @@
 	"github.com/rs/zerolog"
 )
 
-// LogOptions configures the log. The zero value discards it.
+// LogOptions configures the log. The zero value discards all messages.
 type LogOptions struct {
 	Output  io.Writer
 	Level   zerolog.Level
 	Console bool // human-readable lines instead of JSON
 }
 
-// NewLogOptions parses a level (debug, info, warn, error) and a format (json, console).
+// NewLogOptions returns the options for an output, a level (debug, info, warn or error) and a format (json or console).
 func NewLogOptions(output io.Writer, level, format string) (LogOptions, error) {
 	options := LogOptions{Output: output}
 	var err error
--- a/dispatcher/start.go
+++ b/dispatcher/start.go
@@ -14,15 +14,15 @@
 	"orchiddrift/ledger"
 )
 
-// A startup step that fails with a transient error is retried every startRetryInterval until startRetryFor after the
-// start. A dispatcher has 30 s to become ready; the difference is left for the steps that follow.
+// A startup step that fails with a transient error is retried every startupRetryInterval until startupRetryTimeout after
+// the start. A dispatcher has 30 s to become ready; the remaining 5 s are for the steps that follow.
 const (
-	startRetryFor      = 25 * time.Second
-	startRetryInterval = 100 * time.Millisecond
+	startupRetryTimeout  = 25 * time.Second
+	startupRetryInterval = 100 * time.Millisecond
 )
 
-// errStoppedDuringStart is returned when SIGTERM or SIGINT arrives before the start is complete.
-var errStoppedDuringStart = errors.New("stopped by a signal before the start was complete")
+// errStoppedDuringStartup is returned when SIGTERM or SIGINT arrives before the start is complete.
+var errStoppedDuringStartup = errors.New("stopped by a signal before the start was complete")
 
 // transientErrors are errors that a retry may resolve: exhausted resources that others may free, temporary failures of
 // disks and folders, and addresses and locks that a previous process is about to release.
@@ -30,32 +30,33 @@
 	syscall.EAGAIN, syscall.EINTR, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN, syscall.ENETUNREACH,
 	syscall.EBUSY, syscall.ETIMEDOUT, syscall.ESTALE, disk.ErrLocked}
 
-// starter runs the steps of a start.
-type starter struct {
+// startupSequence runs and logs the steps of a start. It is not safe for concurrent use.
+type startupSequence struct {
 	stopSignals   <-chan os.Signal
 	log           zerolog.Logger
 	startedAt     time.Time
-	unloggedSteps []startStep // complete but not logged yet
-	logEnabled    bool        // the configuration is valid: steps are logged as they complete
+	unloggedSteps []startupStep // complete but not logged yet
+	logEnabled    bool          // the configuration is valid: steps are logged as they complete
 }
 
-// startStep is a completed step of a start.
-type startStep struct {
+// startupStep is a completed step of a start.
+type startupStep struct {
 	name    string
 	elapsed float64 // seconds since the start began
 }
 
-// recordStep records that a step is complete. A start that hangs does so after the last step in the log.
-func (s *starter) recordStep(name string) {
-	s.unloggedSteps = append(s.unloggedSteps, startStep{name, time.Since(s.startedAt).Seconds()})
+// recordStep records that a step is complete, and logs it if logging is enabled. The last step in the log shows where a
+// start hangs.
+func (s *startupSequence) recordStep(name string) {
+	s.unloggedSteps = append(s.unloggedSteps, startupStep{name, time.Since(s.startedAt).Seconds()})
 	if s.logEnabled {
 		s.enableLog(s.log)
 	}
 }
 
-// enableLog logs the recorded steps, and later ones as they complete. Steps before a valid configuration are held back,
-// so that an invalid one is reported in a single line.
-func (s *starter) enableLog(log zerolog.Logger) {
+// enableLog logs the recorded steps to log, and later steps as they complete. It is called once the configuration is valid,
+// so that an invalid configuration is reported in a single line.
+func (s *startupSequence) enableLog(log zerolog.Logger) {
 	s.log, s.logEnabled = log, true
 	for _, step := range s.unloggedSteps {
 		log.Info().Str("step", step.name).Float64("after", step.elapsed).Msg("startup step complete")
@@ -63,14 +64,15 @@
 	s.unloggedSteps = nil
 }
 
-// retry runs a step until it succeeds, fails with a permanent error, startRetryFor has passed or a stop signal arrives.
-func (s *starter) retry(name string, run func() error) error {
+// retry runs a step until it succeeds, it fails with an error that is not transient, startupRetryTimeout has passed, or a
+// stop signal arrives, for which it returns errStoppedDuringStartup.
+func (s *startupSequence) retry(name string, run func() error) error {
 	for logged := false; ; {
 		err := run()
 		if err == nil {
 			s.recordStep(name)
 		}
-		if err == nil || !isTransient(err) || time.Since(s.startedAt) > startRetryFor {
+		if err == nil || !isTransient(err) || time.Since(s.startedAt) > startupRetryTimeout {
 			return err
 		}
 		if !logged {
@@ -79,8 +81,8 @@
 		}
 		select {
 		case <-s.stopSignals:
-			return errStoppedDuringStart
-		case <-time.After(startRetryInterval):
+			return errStoppedDuringStartup
+		case <-time.After(startupRetryInterval):
 		}
 	}
 }
@@ -94,20 +96,21 @@
 	return false
 }
 
-// persistentState is the state kept in the folder that outlives the process.
+// persistentState is the state that the dispatcher keeps in the folder that outlives the process.
 type persistentState struct {
 	folder  Folder
 	ledger  *ledger.Ledger
-	pending []ledger.Pending
-	report  ledger.Report
-	clock   func() float64
+	pending []ledger.Pending // notifications that the previous process left pending
+	report  ledger.Report    // result of reading the ledger
+	clock   func() float64   // Unix time in seconds, unaffected by steps of the wall clock
 }
 
-// openState opens the folder and reads the notifications that the previous process left pending.
+// openState opens the folder, the ledger and the clock, and logs damaged ledger records. If the clock's offset cannot be
+// saved, it is saved in the background once that is possible.
 func openState(system System, cfg *config, log zerolog.Logger) (*persistentState, error) {
 	state := &persistentState{}
 	var err error
-	if state.folder, err = system.OpenFolder(cfg.state); err != nil {
+	if state.folder, err = system.OpenFolder(cfg.stateDir); err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
 	sync := cfg.Ledger.Sync == syncBatch || cfg.Ledger.Sync == syncAlways
@@ -131,10 +134,10 @@
 	return state, nil
 }
 
-// clockSaveInterval is the pause between two attempts to save the clock's offset.
+// clockSaveInterval is the time between two attempts to save the clock's offset.
 const clockSaveInterval = 200 * time.Millisecond
 
-// saveClockLater saves the clock's offset as soon as the folder is writable.
+// saveClockLater tries to save the clock's offset until it succeeds.
 func saveClockLater(c *clock.Clock, log zerolog.Logger) {
 	for c.Save() != nil {
 		time.Sleep(clockSaveInterval)
--- a/dispatcher/start_test.go
+++ b/dispatcher/start_test.go
@@ -14,7 +14,7 @@
 // where a start hangs. On a starved machine starts were late in 6 of 13 plays, and no log said in which step.
 func TestStartLogsSteps(t *testing.T) {
 	var text bytes.Buffer
-	s := &starter{log: zerolog.New(&text), startedAt: time.Now().Add(-2 * time.Second)}
+	s := &startupSequence{log: zerolog.New(&text), startedAt: time.Now().Add(-2 * time.Second)}
 	s.recordStep("configuration")
 	if text.Len() > 0 {
 		t.Errorf("logged before the configuration was valid: %s", &text)
--- a/dispatcher/system.go
+++ b/dispatcher/system.go
@@ -16,7 +16,7 @@
 	io.Closer
 }
 
-// System holds the operations of the machine that a dispatcher uses. Tests substitute operations that fail.
+// System holds the functions of the operating system that a dispatcher uses. Tests replace them to inject faults.
 type System struct {
 	Getenv           func(name string) string
 	ReadFile         func(path string) ([]byte, error)
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy simulates the environment of a dispatcher on one machine: the platform's agent, and three partners whose
-// endpoints answer quickly, limit their rate and hang. It logs the requests that it receives.
+// Command toy simulates the environment of a dispatcher on one machine: the platform's agent and three partners, one that
+// answers quickly, one that limits its rate and one that hangs. It logs the requests that it receives.
 package main
 
 import (
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// server is an entry of the platform's list of endpoints.
 type server struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
@@ -54,7 +55,7 @@
 
 func serveQuickly(http.ResponseWriter, *http.Request) { time.Sleep(50 * time.Millisecond) }
 
-// serveBatch answers a call of several notifications: all are done.
+// serveBatch answers a call that carries several notifications, with the state "done" for each.
 func serveBatch(w http.ResponseWriter, r *http.Request) {
 	var messages []map[string]string
 	if err := json.NewDecoder(r.Body).Decode(&messages); err != nil {
@@ -74,31 +75,32 @@
 // newRateLimited returns a handler that accepts one call per second and reports its limit. It refuses the others with a
 // Retry-After header.
 func newRateLimited() http.HandlerFunc {
-	free := make(chan time.Time, 1)
-	free <- time.Now()
+	nextAccepted := make(chan time.Time, 1) // holds the time from which the next call is accepted
+	nextAccepted <- time.Now()
 	return func(w http.ResponseWriter, _ *http.Request) {
-		nextFree := <-free
-		wait := time.Until(nextFree)
+		acceptedFrom := <-nextAccepted
+		wait := time.Until(acceptedFrom)
 		if wait > 0 {
-			free <- nextFree
+			nextAccepted <- acceptedFrom
 			w.Header().Set("Retry-After", fmt.Sprintf("%.3f", wait.Seconds()))
 			w.Header().Set("X-Load-Report", "TEXT x0=0, x1=1")
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		free <- time.Now().Add(time.Second)
+		nextAccepted <- time.Now().Add(time.Second)
 		w.Header().Set("X-Load-Report", "TEXT x0=0, x1=1")
 	}
 }
 
-// serveHanging does not answer until the caller gives up.
+// serveHanging does not answer before the caller closes the connection.
 func serveHanging(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 	log.Print("  caller gave up")
 }
 
-// serveList returns a handler that answers a request for the list at once, and a watch with no changes after its hold_ms.
+// serveList returns a handler that answers a request for the list at once. It answers a watch for changes with an empty list
+// after hold_ms, and after a minute at most.
 func serveList(servers []server) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		answer := map[string]any{"version": 1, "full": true, "servers": servers}
@@ -116,6 +118,7 @@
 	}
 }
 
+// serveNotices logs a batch of notices and acknowledges it.
 func serveNotices(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	log.Printf("notice %s", body)
--- a/settings/module.go
+++ b/settings/module.go
@@ -7,8 +7,8 @@
 	"orchiddrift/directory"
 )
 
-// NewScheduler returns a scheduler that is seeded with seed, reads endpoints from dir and is configured with s. The
-// error names the first setting that is missing or invalid.
+// NewScheduler returns a scheduler that is seeded with seed, reads endpoints from dir and is configured with the settings.
+// The error names the first setting that is missing or invalid.
 func (s *Values) NewScheduler(seed uint64, dir *directory.Directory) (*decide.Scheduler, error) {
 	feeByZone := byName(s.List("azs"), s.Floats("family-info.fee-by-zone"), func(f float64) float64 { return f })
 	quotas := decide.TenantQuotas{Rate: map[string]float64{}, OverQuotaBenefit: s.FloatOr("over-share-worth", 1)}
@@ -30,12 +30,12 @@
 	return scheduler, s.err
 }
 
-// SeparateRoutes reports for each kind whether the endpoints of a destination are separate routes.
+// SeparateRoutes returns, by kind, whether each endpoint of a destination is a separate route.
 func (s *Values) SeparateRoutes() map[string]bool {
 	return byName(s.List("kinds"), s.List("family-info.separate-routes"), func(separate string) bool { return separate == "true" })
 }
 
-// BatchSizes returns for each kind the maximum number of notifications in a call.
+// BatchSizes returns, by kind, the maximum number of notifications in a call.
 func (s *Values) BatchSizes() map[string]int {
 	return byName(s.List("kinds"), s.Floats("family-info.batch-by-kind"), func(size float64) int { return int(size) })
 }
@@ -52,6 +52,7 @@
 // ListOnDemand reports whether discovery sends the list of endpoints only on request.
 func (s *Values) ListOnDemand() bool { return s.Text("membership-mode") == "ask" }
 
+// topics returns the topics that the settings define under the path "classes".
 func (s *Values) topics() []decide.Topic {
 	var list []decide.Topic
 	lateDecay := s.oneOf("family-info.loses-worth", "line", "line", "halves")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,10 +14,10 @@
 // absent is the text that marks a setting as not set.
 const absent = "-"
 
-// Values holds settings as text, by path. Unknown settings are ignored. The accessors record the first setting that
-// is missing or invalid; Err returns it.
+// Values holds settings as text, by path. Unknown settings are ignored. The accessors record an error for the first setting
+// that is missing or invalid, which Err returns; they are not safe for concurrent use.
 type Values struct {
-	values map[string]string
+	values map[string]string // by path
 	err    error
 }
 
@@ -34,8 +34,9 @@
 	return s, nil
 }
 
-// FromJSON parses a nested object. The keys on the way to a value are joined by dots to its path, scalars of a list
-// are joined by commas, and the length of a list of objects is stored under the suffix ".count".
+// FromJSON parses a nested object. The path of a value is the keys that lead to it, joined by dots. The scalars of a list
+// are joined by commas. The objects of a list are numbered from 0 in the path, and their count is stored under the suffix
+// ".count".
 func FromJSON(text []byte) (*Values, error) {
 	var tree map[string]any
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -50,6 +51,7 @@
 	return s, nil
 }
 
+// flatten stores v, or the values that it contains, under path.
 func (s *Values) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -73,9 +75,10 @@
 	}
 }
 
+// fieldError returns the error for a setting with an invalid value. A missing setting has an empty value.
 func fieldError(path, value string) error { return fmt.Errorf("field %s cannot be %q", path, value) }
 
-// Err returns the first error that an accessor met.
+// Err returns the first error that an accessor recorded.
 func (s *Values) Err() error { return s.err }
 
 // Text returns a required setting.
@@ -87,20 +90,20 @@
 	return v
 }
 
-// oneOf returns a setting whose value must be one of words. If it is not set, oneOf returns fallback; if fallback is
-// empty, the setting is required.
-func (s *Values) oneOf(path, fallback string, words ...string) string {
+// oneOf returns a setting whose value must be one of allowed. If it is not set, oneOf returns fallback. An empty fallback
+// makes the setting required.
+func (s *Values) oneOf(path, fallback string, allowed ...string) string {
 	v, ok := s.values[path]
 	if (!ok || v == absent) && fallback != "" {
 		return fallback
 	}
-	if !slices.Contains(words, v) && s.err == nil {
-		s.err = fmt.Errorf("%w: use one of %s", fieldError(path, v), strings.Join(words, ", "))
+	if !slices.Contains(allowed, v) && s.err == nil {
+		s.err = fmt.Errorf("%w: use one of %s", fieldError(path, v), strings.Join(allowed, ", "))
 	}
 	return v
 }
 
-// Float returns a required finite number.
+// Float returns a required number. NaN and infinities are invalid.
 func (s *Values) Float(path string) float64 {
 	text := s.Text(path)
 	v, err := strconv.ParseFloat(text, 64)
@@ -110,7 +113,7 @@
 	return v
 }
 
-// FloatOr returns a finite number, or fallback if it is not set.
+// FloatOr returns a number as Float does, or fallback if it is not set.
 func (s *Values) FloatOr(path string, fallback float64) float64 {
 	if v, ok := s.values[path]; !ok || v == absent {
 		return fallback
@@ -118,7 +121,7 @@
 	return s.Float(path)
 }
 
-// Seconds returns a required duration in seconds; the setting is in milliseconds.
+// Seconds returns a required duration in seconds. The setting holds it in milliseconds.
 func (s *Values) Seconds(path string) float64 { return s.Float(path) / 1000 }
 
 // Int returns a required integer.
@@ -131,7 +134,7 @@
 	return v
 }
 
-// Bool reports whether a setting is true. It is false if it is not set.
+// Bool reports whether a setting is true. A setting that is not set counts as false.
 func (s *Values) Bool(path string) bool {
 	switch v := s.values[path]; v {
 	case "true", "1":
--- a/simwire/simwire.go
+++ b/simwire/simwire.go
@@ -14,20 +14,21 @@
 // Absent is the text of a value that is not set.
 const Absent = "-"
 
-// Line is one line of a batch. Number is its line number in the input, from 1.
+// Line is one line of a batch. Its accessors take the index of a value and, for errors, the name of the field that the value
+// stands for. They panic if the line has no such value, so RequireValues has to be called first.
 type Line struct {
-	Number int
-	Name   string
-	Values []string
+	Number int      // line number in the input, from 1
+	Name   string   // first field: the event or kind of line
+	Values []string // the other fields
 }
 
 // Reader reads and numbers lines.
 type Reader struct {
 	in   *bufio.Reader
-	line int
+	line int // number of the last line read, 0 at the start
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<20)} }
 
 // Next returns the next line, or io.EOF after the last one.
@@ -57,7 +58,7 @@
 	return fmt.Errorf("line %d: %s: field %s cannot be %q", l.Number, l.Name, field, value)
 }
 
-// Text returns value i, which is required. The field name is for the error, here and in the other accessors.
+// Text returns value i. It is an error if the value is absent or empty.
 func (l Line) Text(i int, field string) (string, error) {
 	if v := l.Values[i]; v != "" && v != Absent {
 		return v, nil
@@ -97,7 +98,7 @@
 	return v, nil
 }
 
-// Bool returns value i, which is written as 1 or 0.
+// Bool returns value i, which is 1 for true or 0 for false. It is an error if the value is absent.
 func (l Line) Bool(i int, field string) (bool, error) {
 	switch l.Values[i] {
 	case "1":
@@ -108,7 +109,7 @@
 	return false, l.FieldError(field, l.Values[i])
 }
 
-// LoadReport parses value i as a load report of comma-separated name:value pairs. It returns nil if the value is
+// LoadReport returns value i, a load report of comma-separated name:number pairs, by name. It returns nil if the value is
 // absent.
 func (l Line) LoadReport(i int, field string) (map[string]float64, error) {
 	if l.Values[i] == Absent {
