--- a/dispatcher/child_test.go
+++ b/dispatcher/child_test.go
@@ -41,12 +41,13 @@
 	os.Exit(m.Run())
 }
 
-// startChild runs a dispatcher in a child process. The returned function sends it SIGTERM and waits for its exit.
+// startChild runs the dispatcher in a child process with a limit on its file descriptors. The returned function sends it
+// SIGTERM and waits for its exit.
 func (d *testDispatcher) startChild(t *testing.T, descriptors int) (*os.Process, func() error) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), fmt.Sprint(childDescriptorsVar, "=", descriptors))
-	for name, value := range d.env {
+	for name, value := range d.variables {
 		cmd.Env = append(cmd.Env, name+"="+value)
 	}
 	var log strings.Builder
@@ -73,6 +74,7 @@
 	}
 }
 
+// ready reports whether the dispatcher answers a health check within a second.
 func (d *testDispatcher) ready() bool {
 	conn, err := net.DialTimeout("tcp", d.addr, time.Second)
 	if err != nil {
@@ -91,18 +93,18 @@
 		"state": state, "weight": 10.0, "started_ms": 0}}
 }
 
-// Idle clients exhaust the file descriptors, of which the system allows fewer than configured, while discovery is down.
-// The dispatcher keeps running: once discovery is back it gets the new list, accepts a notification and pushes it to the
-// newly listed endpoint.
+// Idle clients exhaust the file descriptors, of which the system allows fewer than configured, while discovery does not
+// answer. The dispatcher keeps running: once discovery answers again, it receives the new list, accepts a notification and
+// pushes it to the newly listed endpoint.
 func TestDescriptorsExhausted(t *testing.T) {
 	delivered := make(chan string, 9)
 	partner := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { delivered <- r.Header.Get("X-Call-Id") }))
 	defer partner.Close()
-	var up atomic.Bool
+	var agentAnswers atomic.Bool
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		switch {
-		case !up.Load():
+		case !agentAnswers.Load():
 			<-r.Context().Done()
 		case r.Method == http.MethodPost:
 			w.WriteHeader(http.StatusNoContent)
@@ -116,7 +118,7 @@
 	_, stopChild := d.startChild(t, descriptors)
 	eventually(t, "ready", d.ready)
 	idle := make([]net.Conn, 2*descriptors)
-	for round := range 3 { // connections that the dispatcher closed to make room are dialled again
+	for round := range 3 { // the dispatcher closes idle connections to free descriptors, so they are dialled again
 		for i := range idle {
 			if conn, err := net.DialTimeout("tcp", d.addr, time.Second); err == nil {
 				if round%2 == 0 {
@@ -127,7 +129,7 @@
 			}
 		}
 	}
-	up.Store(true)
+	agentAnswers.Store(true)
 	startedAt := time.Now()
 	eventually(t, "accepted", func() bool { return d.submit("a1", 1) })
 	select {
@@ -162,12 +164,12 @@
 	defer before.CloseClientConnections()
 	defer after.CloseClientConnections()
 	d := configure(t, before.URL, nil, func(map[string]any) {})
-	path := d.env["ROUTER_CONFIG"]
+	path := d.variables["ROUTER_CONFIG"]
 	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.env["ROUTER_CONFIG"] = path + ".pipe"
+	d.variables["ROUTER_CONFIG"] = path + ".pipe"
 	if err := syscall.Mkfifo(path+".pipe", 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -208,8 +210,8 @@
 	}
 }
 
-// Readiness depends on nothing but the folder: a dispatcher with many pending notifications and an agent that accepts
-// connections but never answers becomes ready without waiting for either.
+// Readiness depends only on the state folder: a dispatcher with many pending notifications, whose agent accepts connections
+// but never answers, becomes ready without waiting for pushes or for the list.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	agent, err := net.Listen("tcp", "127.0.0.1:0") // connections are accepted by the backlog and never read
 	if err != nil {
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -80,12 +80,14 @@
 	defer state.folder.Close()
 
 	agent := platform.NewAgent(cfg.Discovery, cfg.Known.Version, log)
-	runner := &gateway.Runner{Gateway: gateway.New(parts.scheduler, dir, state.ledger.HasRoom, parts.separateRoutes, parts.batchSizes, parts.dialTimeout),
+	runner := &gateway.Runner{Gateway: gateway.New(parts.scheduler, dir, state.ledger.HasRoom, parts.separateRoutes,
+		parts.batchSizes, parts.dialTimeout),
 		Ledger: state.ledger, Platform: agent, Clock: state.clock, Tick: parts.tick, Log: log, Events: make(chan gateway.Event, eventQueueSize),
 		WritePerEvent: cfg.Ledger.Sync == syncAlways, Dialer: push.Dialer(system.Dial), Metrics: gateway.NewMetrics()}
 	invariants := &invariant.Counters{Log: log, Strict: system.PanicOnViolation}
 	firstListBy := state.clock() + firstListTimeout.Seconds()
-	runner.Gateway.SetSendChecker(invariant.NewSendChecker(invariants, invariant.Margins{DrainGrace: parts.drainGrace, KeyHold: parts.scheduler.KeyCooldown()}, firstListBy))
+	runner.Gateway.SetSendChecker(invariant.NewSendChecker(invariants,
+		invariant.Margins{DrainGrace: parts.drainGrace, KeyHold: parts.scheduler.KeyCooldown()}, firstListBy))
 	log.Info().Int("owed", len(state.pending)).Int("taken_over", state.report.Migrated).Int("listed", len(cfg.Known.Servers)).Msg("start")
 	runner.Gateway.AdvanceCallID(state.ledger.LastCallNumber())
 	runner.Gateway.AwaitFirstList(firstListBy)
--- a/dispatcher/rig_test.go
+++ b/dispatcher/helpers_test.go
@@ -14,14 +14,15 @@
 	"orchiddrift/dispatcher"
 )
 
-// testDispatcher is a dispatcher under test with its own folder. It runs in the test process or in child processes.
+// testDispatcher is a dispatcher under test with its own state folder. It runs in the test process or in child processes.
 type testDispatcher struct {
-	addr   string
-	env    map[string]string
-	exited chan error
+	addr      string            // listen address
+	variables map[string]string // the ROUTER_ variables by name
+	exited    chan error        // result of RunOn, if it runs in the test process
 }
 
-// configure writes the example's configuration with an agent, the endpoints known at the start and further changes.
+// configure writes the example's configuration, changed to use a free port, the given agent and the given endpoints known at
+// the start. change makes further changes.
 func configure(t *testing.T, agent string, known []map[string]any, change func(map[string]any)) *testDispatcher {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,19 +44,19 @@
 	change(config)
 	text, _ = json.Marshal(config) // maps of plain values always marshal
 	dir := t.TempDir()
-	d.env = map[string]string{"ROUTER_CONFIG": filepath.Join(dir, "config.json"), "ROUTER_STATE": dir}
-	if err := os.WriteFile(d.env["ROUTER_CONFIG"], text, 0o600); err != nil {
+	d.variables = map[string]string{"ROUTER_CONFIG": filepath.Join(dir, "config.json"), "ROUTER_STATE": dir}
+	if err := os.WriteFile(d.variables["ROUTER_CONFIG"], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-// start runs the dispatcher and waits until it is ready.
+// start runs the dispatcher in the test process and waits until it is ready.
 func (d *testDispatcher) start(t *testing.T) {
 	t.Helper()
 	d.exited = make(chan error, 1)
 	go func() {
-		d.exited <- dispatcher.Run(func(name string) string { return d.env[name] }, dispatcher.LogOptions{})
+		d.exited <- dispatcher.Run(func(name string) string { return d.variables[name] }, dispatcher.LogOptions{})
 	}()
 	eventually(t, "ready", func() bool {
 		resp, err := http.Get("http://" + d.addr + "/_health")
@@ -66,7 +67,7 @@
 // submit submits a notification of topic "reading" and reports whether it was accepted.
 func (d *testDispatcher) submit(id string, dest int) bool { return d.submitTopic("reading", id, dest) }
 
-// signal sends a signal to the test process.
+// signal sends a signal to the test process, in which the dispatcher runs.
 func (d *testDispatcher) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), s); err != nil {
@@ -74,7 +75,7 @@
 	}
 }
 
-// waitForExit waits until the dispatcher has exited after a SIGTERM.
+// waitForExit fails the test unless the dispatcher exits without an error within 3.7 s.
 func (d *testDispatcher) waitForExit(t *testing.T) {
 	t.Helper()
 	select {
@@ -87,7 +88,7 @@
 	}
 }
 
-// eventually fails the test unless condition becomes true within 5 s.
+// eventually waits until condition is true, and fails the test if that takes more than 5 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
--- a/dispatcher/size_test.go
+++ b/dispatcher/many_endpoints_test.go
@@ -17,15 +17,15 @@
 // and the last of each get their notifications, and the dispatcher exits on SIGTERM.
 func TestManyEndpoints(t *testing.T) {
 	const size = 1024
-	var lock sync.Mutex
+	var mu sync.Mutex
 	var delivered []string
 	partner := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		lock.Lock()
-		defer lock.Unlock()
+		mu.Lock()
+		defer mu.Unlock()
 		delivered = append(delivered, r.Header.Get("X-Call-Id"))
 	}))
 	defer partner.Close()
-	entries := func(from int) []map[string]any {
+	makeEntries := func(from int) []map[string]any {
 		var list []map[string]any
 		for i := from; i < from+size; i++ {
 			list = append(list, map[string]any{"id": fmt.Sprintf("s-%08x", i), "addr": strings.TrimPrefix(partner.URL, "http://"),
@@ -38,7 +38,7 @@
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		answer := map[string]any{"version": 2, "full": false, "servers": entries(size)}
+		answer := map[string]any{"version": 2, "full": false, "servers": makeEntries(size)}
 		if r.URL.Query().Get("from") == "2" {
 			select {
 			case <-r.Context().Done():
@@ -56,7 +56,7 @@
 	for i := range size {
 		peers = append(peers, fmt.Sprintf("10.3.%d.%d:7946", i/256, i%256))
 	}
-	d := configure(t, agent.URL, entries(0), func(config map[string]any) {
+	d := configure(t, agent.URL, makeEntries(0), func(config map[string]any) {
 		config["settings"].(map[string]any)["balancers"] = size
 		config["peers"] = peers
 	})
@@ -68,8 +68,8 @@
 		eventually(t, id+" accepted", func() bool { return d.submit(id, dest) }) // refused until its destination is listed
 	}
 	eventually(t, "delivered", func() bool {
-		lock.Lock()
-		defer lock.Unlock()
+		mu.Lock()
+		defer mu.Unlock()
 		return len(delivered) >= len(submitted)
 	})
 	slices.Sort(delivered)
--- a/dispatcher/restarts_test.go
+++ b/dispatcher/restarts_test.go
@@ -24,6 +24,7 @@
 	calls chan string // X-Call-Id of each call, once its body has been read
 }
 
+// newEndpoint returns an endpoint that listens on a free port.
 func newEndpoint(t *testing.T) *endpoint {
 	t.Helper()
 	e := &endpoint{addr: "127.0.0.1:0", calls: make(chan string, 99)}
@@ -53,12 +54,12 @@
 // newAgent starts an agent whose list never changes, and returns its URL and the notices that it gets.
 func newAgent(t *testing.T, list []map[string]any) (url string, notices <-chan string) {
 	t.Helper()
-	told := make(chan string, 99)
+	received := make(chan string, 99)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		switch {
 		case r.Method == http.MethodPost:
-			told <- string(body)
+			received <- string(body)
 			w.WriteHeader(http.StatusNoContent)
 		case r.URL.RawQuery != "":
 			<-r.Context().Done() // the list does not change
@@ -67,24 +68,24 @@
 		}
 	}))
 	t.Cleanup(func() { agent.CloseClientConnections(); agent.Close() })
-	return agent.URL, told
+	return agent.URL, received
 }
 
 // process is a dispatcher in a child process that a test kills.
 type process struct {
-	cmd *exec.Cmd
-	log string
+	cmd     *exec.Cmd
+	logPath string
 }
 
 // startProcess starts a process on the dispatcher's folder and waits until it is ready.
 func (d *testDispatcher) startProcess(t *testing.T, name string) *process {
 	t.Helper()
-	p := &process{cmd: exec.Command(os.Args[0]), log: filepath.Join(d.env["ROUTER_STATE"], name+".log")}
+	p := &process{cmd: exec.Command(os.Args[0]), logPath: filepath.Join(d.variables["ROUTER_STATE"], name+".log")}
 	p.cmd.Env = append(os.Environ(), childDescriptorsVar+"=256")
-	for name, value := range d.env {
+	for name, value := range d.variables {
 		p.cmd.Env = append(p.cmd.Env, name+"="+value)
 	}
-	log, err := os.Create(p.log)
+	log, err := os.Create(p.logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,23 +107,24 @@
 
 // logContains reports whether the log contains text.
 func (p *process) logContains(text string) bool {
-	b, _ := os.ReadFile(p.log)
-	return strings.Contains(string(b), text)
+	log, _ := os.ReadFile(p.logPath)
+	return strings.Contains(string(log), text)
 }
 
+// reportLog writes the end of the log to the test's output if the test has failed.
 func (p *process) reportLog(t *testing.T) {
-	const most = 4 << 10 // bytes from the end of the log
-	if b, _ := os.ReadFile(p.log); t.Failed() {
-		t.Logf("%s:\n%s", filepath.Base(p.log), b[max(0, len(b)-most):])
+	const maxBytes = 4 << 10 // from the end of the log
+	if log, _ := os.ReadFile(p.logPath); t.Failed() {
+		t.Logf("%s:\n%s", filepath.Base(p.logPath), log[max(0, len(log)-maxBytes):])
 	}
 }
 
-// A process is killed while a push of a collapsible notification is unanswered. The second process has it as a push that
-// may have run; its own connections to the endpoint are refused, and it is killed too. The third process must still
-// have the first process's push on record: after the repeat window it sends the final answer instead of another push.
+// A process is killed while a push of a collapsible notification is unanswered, so the push may have run. The endpoint
+// refuses the connections of a second process, which is killed too. A third process must still know of the first push from
+// the ledger: once the deduplication window has passed, it sends the final answer instead of pushing again.
 //
 // Guards against a failed dial that clears the record of an earlier process's push (incident of 2026-12-02).
-func TestRepeatWindowAcrossTwoCrashes(t *testing.T) {
+func TestDedupWindowAcrossTwoCrashes(t *testing.T) {
 	const window = 2 * time.Second
 	e := newEndpoint(t)
 	list := partnerList("s-1", e.addr, "ready")
@@ -138,18 +140,18 @@
 	if id := receive(t, "a call", e.calls); id != "a1" {
 		t.Fatalf("called with %q", id)
 	}
-	known := time.Now().Add(window)
+	windowEnd := time.Now().Add(window)
 	first.kill()
 	e.ln.Close()
 	second := d.startProcess(t, "second")
 	eventually(t, "a refused dial", func() bool { return second.logContains("no connection") })
 	second.kill()
-	time.Sleep(time.Until(known) + 100*time.Millisecond)
+	time.Sleep(time.Until(windowEnd) + 100*time.Millisecond)
 	e.open(t)
 	d.startProcess(t, "third")
 	select {
 	case id := <-e.calls:
-		t.Fatalf("%s was pushed again %v after its repeat window", id, time.Since(known))
+		t.Fatalf("%s was pushed again %v after its deduplication window", id, time.Since(windowEnd))
 	case text := <-notices:
 		if !strings.Contains(text, `"a1"`) {
 			t.Fatalf("notice %s", text)
@@ -172,9 +174,9 @@
 }
 
 // submitTopic submits a notification of a topic and reports whether it was accepted.
-func (d *testDispatcher) submitTopic(class, id string, dest int) bool {
+func (d *testDispatcher) submitTopic(topic, id string, dest int) bool {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+d.addr+"/api", strings.NewReader("hello"))
-	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": class, "X-Caller": "acme",
+	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": topic, "X-Caller": "acme",
 		"X-Budget": "9000m", "X-Addressing": fmt.Sprint("dest=", dest), "Idempotency-Key": "key-" + id} {
 		req.Header.Set(name, value)
 	}
@@ -187,51 +189,51 @@
 	return resp.StatusCode == http.StatusAccepted
 }
 
-// The address is unavailable for two seconds after a restart. Pending notifications are pushed in the meantime, and
-// SIGTERM stops the process. Guards against a gateway loop that starts only once the listener is open.
+// After a restart the listen address is in use for two seconds. Pending notifications are pushed meanwhile, and SIGTERM stops
+// a dispatcher that is not listening yet. Guards against a gateway loop that starts only once the listener is open.
 func TestPendingPushedBeforeListener(t *testing.T) {
-	w := newEnvironment(t)
-	w.partnerHangs.Store(true)
-	w.startOn(t, w.system())
-	if !w.submit("a1", 1) {
+	env := newEnvironment(t)
+	env.partnerHangs.Store(true)
+	env.startOn(t, env.system())
+	if !env.submit("a1", 1) {
 		t.Fatal("not accepted")
 	}
-	<-w.pushed
-	w.stop(t)
-	w.partnerHangs.Store(false)
-	system := w.system()
-	begun := time.Now()
+	<-env.pushed
+	env.stop(t)
+	env.partnerHangs.Store(false)
+	system := env.system()
+	startedAt := time.Now()
 	listened := make(chan time.Duration, 99)
 	system.Listen = func(address string) (net.Listener, error) {
-		if time.Since(begun) < 2*time.Second {
+		if time.Since(startedAt) < 2*time.Second {
 			return nil, &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", syscall.EADDRINUSE)}
 		}
-		listened <- time.Since(begun)
+		listened <- time.Since(startedAt)
 		return net.Listen("tcp", address)
 	}
-	w.launch(system)
+	env.launch(system)
 	select {
-	case <-w.pushed:
+	case <-env.pushed:
 	case at := <-listened:
 		t.Errorf("not pushed before the listener was open, %v after the start", at)
 	}
-	eventually(t, "ready", w.ready)
-	w.stop(t)
+	eventually(t, "ready", env.ready)
+	env.stop(t)
 
 	system.Listen = func(string) (net.Listener, error) {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", syscall.EADDRINUSE)}
 	}
-	w.launch(system)
+	env.launch(system)
 	time.Sleep(300 * time.Millisecond)
-	w.stop(t)
+	env.stop(t)
 }
 
-// A dispatcher that was killed with many pending notifications and thousands of listed endpoints repeats the first push
-// well within the repeat windows. The log has the ledger's state of each notification.
+// A dispatcher that was killed with many pending notifications and thousands of listed endpoints repeats the first push well
+// within the deduplication windows. The log has the ledger's state of the notifications.
 func TestRestartWithManyPending(t *testing.T) {
 	const (
-		listed, owed = 3200, 300
-		most         = 1500 * time.Millisecond // of which pushes wait 500 ms for the first list from discovery
+		listed, pending = 3200, 300
+		maxElapsed      = 1500 * time.Millisecond // of which pushes wait 500 ms for the first list from discovery
 	)
 	e := newEndpoint(t)
 	list := partnerList("s-1", e.addr, "ready")
@@ -242,23 +244,24 @@
 	}
 	agent, _ := newAgent(t, list)
 	d := configure(t, agent, list, func(config map[string]any) {
-		config["settings"].(map[string]any)["policy-limits"].(map[string]any)["most-held"] = 2 * owed
+		config["settings"].(map[string]any)["policy-limits"].(map[string]any)["most-held"] = 2 * pending
 	})
 	first := d.startProcess(t, "first")
-	for i := range owed {
+	for i := range pending {
 		if !d.submitTopic("status", fmt.Sprint("m", i), 1) {
 			t.Fatal("not accepted")
 		}
 	}
 	receive(t, "a call", e.calls)
 	first.kill()
-	begun := time.Now()
+	startedAt := time.Now()
 	second := d.startProcess(t, "second")
-	eventually(t, "a repeat", func() bool { return second.logContains(`"message":"repeat"`) }) // not read from the endpoint, where calls of the first process may still arrive
-	took := time.Since(begun)
-	t.Logf("first repeat %v after the start, with %d pending notifications and %d listed endpoints", took, owed, listed)
-	if took > most {
-		t.Errorf("first repeat only %v after the start", took)
+	// The log is checked, not the endpoint, where calls of the first process may still arrive.
+	eventually(t, "a repeat", func() bool { return second.logContains(`"message":"repeat"`) })
+	elapsed := time.Since(startedAt)
+	t.Logf("first repeat %v after the start, with %d pending notifications and %d listed endpoints", elapsed, pending, listed)
+	if elapsed > maxElapsed {
+		t.Errorf("first repeat only %v after the start", elapsed)
 	}
 	if !second.logContains(`"state":"may have run"`) {
 		t.Error("the log has no state of the pending notifications")
--- a/dispatcher/start_test.go
+++ b/dispatcher/start_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// The log has a line for each step of a start as it completes, with the seconds since the start began, so that it shows
-// where a start hangs. On a starved machine starts were late in 6 of 13 plays, and no log said in which step.
+// The log has a line for each completed step of a start, with the seconds since the start began. Guards against a log that
+// does not show in which step a start is slow: on an overloaded machine starts were late in 6 of 13 runs.
 func TestStartLogsSteps(t *testing.T) {
 	var text bytes.Buffer
 	s := &startupSequence{log: zerolog.New(&text), startedAt: time.Now().Add(-2 * time.Second)}
@@ -20,9 +20,9 @@
 		t.Errorf("logged before the configuration was valid: %s", &text)
 	}
 	s.enableLog(s.log)
-	tries := 0
+	attempts := 0
 	err := s.retry("folder", func() error {
-		if tries++; tries == 1 {
+		if attempts++; attempts == 1 {
 			return syscall.EIO
 		}
 		return nil
--- a/dispatcher/machine_test.go
+++ b/dispatcher/system_test.go
@@ -17,21 +17,22 @@
 	"orchiddrift/dispatcher"
 )
 
-// environment is a partner and an agent for a dispatcher that runs on a System of the test's choice.
+// environment is a partner, an agent and a dispatcher that runs on a System chosen by the test.
 type environment struct {
 	*testDispatcher
-	partnerHangs atomic.Bool
+	partnerHangs atomic.Bool // the partner reads calls and does not answer them
 	pushed       chan string // X-Budget of each call
-	notices      chan string
+	notices      chan string // notices that the agent received
 }
 
+// newEnvironment starts a partner and an agent and configures a dispatcher, which it does not start.
 func newEnvironment(t *testing.T) *environment {
 	t.Helper()
-	w := &environment{pushed: make(chan string, 99), notices: make(chan string, 99)}
+	env := &environment{pushed: make(chan string, 99), notices: make(chan string, 99)}
 	partner := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		w.pushed <- r.Header.Get("X-Budget")
-		if w.partnerHangs.Load() {
+		env.pushed <- r.Header.Get("X-Budget")
+		if env.partnerHangs.Load() {
 			<-r.Context().Done()
 		}
 	}))
@@ -40,7 +41,7 @@
 		body, _ := io.ReadAll(r.Body)
 		switch {
 		case r.Method == http.MethodPost:
-			w.notices <- string(body)
+			env.notices <- string(body)
 			rw.WriteHeader(http.StatusNoContent)
 		case r.URL.RawQuery != "":
 			<-r.Context().Done() // the list does not change
@@ -49,124 +50,125 @@
 		}
 	}))
 	t.Cleanup(func() { agent.CloseClientConnections() })
-	w.testDispatcher = configure(t, agent.URL, partnerList("s-1", partner.URL, "ready"), func(map[string]any) {})
-	return w
+	env.testDispatcher = configure(t, agent.URL, partnerList("s-1", partner.URL, "ready"), func(map[string]any) {})
+	return env
 }
 
 // system returns the host's System with the environment's variables.
-func (w *environment) system() dispatcher.System {
-	return dispatcher.HostSystem(func(name string) string { return w.env[name] })
+func (env *environment) system() dispatcher.System {
+	return dispatcher.HostSystem(func(name string) string { return env.variables[name] })
 }
 
 // startOn launches the dispatcher on a system and waits until it is ready.
-func (w *environment) startOn(t *testing.T, system dispatcher.System) {
+func (env *environment) startOn(t *testing.T, system dispatcher.System) {
 	t.Helper()
-	w.launch(system)
-	eventually(t, "ready", w.ready)
+	env.launch(system)
+	eventually(t, "ready", env.ready)
 }
 
 // launch runs the dispatcher on a system in the background.
-func (w *environment) launch(system dispatcher.System) {
-	w.exited = make(chan error, 1)
-	go func() { w.exited <- dispatcher.RunOn(system, dispatcher.LogOptions{}) }()
+func (env *environment) launch(system dispatcher.System) {
+	env.exited = make(chan error, 1)
+	go func() { env.exited <- dispatcher.RunOn(system, dispatcher.LogOptions{}) }()
 }
 
-func (w *environment) stop(t *testing.T) {
+// stop sends SIGTERM and waits until the dispatcher has exited.
+func (env *environment) stop(t *testing.T) {
 	t.Helper()
-	w.signal(t, syscall.SIGTERM)
-	w.waitForExit(t)
+	env.signal(t, syscall.SIGTERM)
+	env.waitForExit(t)
 }
 
 // The wall clock is stepped by an hour between two processes. Pending notifications keep their remaining time: a step
 // forward does not expire them, and a step back does not keep them beyond their TTL.
 func TestClockStep(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
-		w := newEnvironment(t)
-		w.partnerHangs.Store(true)
-		w.startOn(t, w.system())
-		if !w.submit("a1", 1) {
+		env := newEnvironment(t)
+		env.partnerHangs.Store(true)
+		env.startOn(t, env.system())
+		if !env.submit("a1", 1) {
 			t.Fatal("not accepted")
 		}
-		<-w.pushed
-		w.stop(t)
-		system := w.system()
+		<-env.pushed
+		env.stop(t)
+		system := env.system()
 		system.Clocks.Wall = func() time.Time { return time.Now().Add(step) }
-		w.startOn(t, system)
+		env.startOn(t, system)
 		select {
-		case left := <-w.pushed:
-			if took, err := time.ParseDuration(left + "s"); err != nil || took > 6*time.Second || took < time.Second {
-				t.Errorf("step of %v: pushed with %s left", step, left)
+		case budget := <-env.pushed:
+			if remaining, err := time.ParseDuration(budget + "s"); err != nil || remaining > 6*time.Second || remaining < time.Second {
+				t.Errorf("step of %v: pushed with %s left", step, budget)
 			}
-		case text := <-w.notices:
+		case text := <-env.notices:
 			t.Errorf("step of %v: given up: %s", step, text)
 		case <-time.After(3 * time.Second):
 			t.Errorf("step of %v: not pushed again", step)
 		}
 		select {
-		case <-w.notices:
+		case <-env.notices:
 		case <-time.After(8 * time.Second):
 			t.Errorf("step of %v: no final answer after its TTL", step)
 		}
-		w.stop(t)
+		env.stop(t)
 	}
 }
 
-// A folder, a configuration or an address that is unavailable for a moment does not fail the start.
+// Transient errors in reading the configuration, opening the folder and listening do not fail the start.
 func TestStartRetries(t *testing.T) {
-	w := newEnvironment(t)
-	system := w.system()
-	var tried atomic.Int32
-	fails := func(err error) error {
-		if tried.Add(1)%3 != 0 { // each operation fails twice
+	env := newEnvironment(t)
+	system := env.system()
+	var attempts atomic.Int32
+	failTwice := func(err error) error {
+		if attempts.Add(1)%3 != 0 { // the third attempt of each operation succeeds
 			return err
 		}
 		return nil
 	}
 	open, listen, read := system.OpenFolder, system.Listen, system.ReadFile
 	system.OpenFolder = func(path string) (dispatcher.Folder, error) {
-		if err := fails(&os.PathError{Op: "open", Path: filepath.Join(path, "lock"), Err: syscall.EIO}); err != nil {
+		if err := failTwice(&os.PathError{Op: "open", Path: filepath.Join(path, "lock"), Err: syscall.EIO}); err != nil {
 			return nil, err
 		}
 		return open(path)
 	}
 	system.ReadFile = func(path string) ([]byte, error) {
-		if err := fails(&os.PathError{Op: "read", Path: path, Err: syscall.ENFILE}); err != nil {
+		if err := failTwice(&os.PathError{Op: "read", Path: path, Err: syscall.ENFILE}); err != nil {
 			return nil, err
 		}
 		return read(path)
 	}
 	system.Listen = func(address string) (l net.Listener, err error) {
-		if err := fails(&net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}); err != nil {
+		if err := failTwice(&net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("socket", syscall.ENOBUFS)}); err != nil {
 			return nil, err
 		}
 		return listen(address)
 	}
-	w.startOn(t, system)
-	if !w.submit("a1", 1) {
+	env.startOn(t, system)
+	if !env.submit("a1", 1) {
 		t.Error("not accepted")
 	}
-	w.stop(t)
+	env.stop(t)
 }
 
 // After a SIGHUP the configuration cannot be read, then is incomplete. It is read again until it is valid, and the new
 // discovery address is used.
 func TestReloadRetries(t *testing.T) {
-	asked := make(chan struct{}, 99)
+	requested := make(chan struct{}, 99)
 	after := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case asked <- struct{}{}:
+		case requested <- struct{}{}:
 		default:
 		}
 		<-r.Context().Done()
 	}))
 	t.Cleanup(func() { after.CloseClientConnections() })
-	w := newEnvironment(t)
-	system := w.system()
+	env := newEnvironment(t)
+	system := env.system()
 	read := system.ReadFile
-	var fails atomic.Int32
+	var failuresLeft atomic.Int32
 	system.ReadFile = func(path string) ([]byte, error) {
 		text, err := read(path)
-		switch fails.Add(-1) {
+		switch failuresLeft.Add(-1) {
 		case 1:
 			return nil, &os.PathError{Op: "read", Path: path, Err: syscall.EIO}
 		case 0:
@@ -174,8 +176,8 @@
 		}
 		return text, err
 	}
-	w.startOn(t, system)
-	path := w.env["ROUTER_CONFIG"]
+	env.startOn(t, system)
+	path := env.variables["ROUTER_CONFIG"]
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -189,12 +191,12 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	fails.Store(2)
-	w.signal(t, syscall.SIGHUP)
+	failuresLeft.Store(2)
+	env.signal(t, syscall.SIGHUP)
 	select {
-	case <-asked:
+	case <-requested:
 	case <-time.After(4 * time.Second):
 		t.Error("the discovery address has not changed within 4 s")
 	}
-	w.stop(t)
+	env.stop(t)
 }
