--- a/appconfig/app.go
+++ b/appconfig/app.go
@@ -9,7 +9,7 @@
 
 // App is the configuration file of one application.
 type App struct {
-	File      string `toml:"-"`
+	File      string `toml:"-"` // name of the file, for findings
 	Name      string `toml:"name"`
 	Listen    string `toml:"listen"`    // address that clients connect to
 	State     string `toml:"state"`     // folder that outlives the process
@@ -27,44 +27,42 @@
 	Tenants    []Tenant   `toml:"tenants,omitempty"`
 	Partners   []Partner  `toml:"partners"`
 
-	lines map[string]int // line in the file by key
+	lines map[string]int // line in the file, from 1, by key as in partners[0].rate
 }
 
-// Limits are the resources that the process may use.
+// Limits are the resources that the process may use. 1 MB is 1e6 bytes.
 type Limits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
-	Sockets  int     `toml:"sockets"`
-	DiskMB   float64 `toml:"disk_mb"`
+	Sockets  int     `toml:"sockets"` // file descriptors
+	DiskMB   float64 `toml:"disk_mb"` // size of the ledger
 }
 
-// Ledger configures when records are synced to disk: none, batch or always.
+// Ledger configures the ledger.
 type Ledger struct {
-	Sync string `toml:"sync"`
+	Sync string `toml:"sync"` // when records are synced to disk: none, batch or always
 }
 
-// Dispatcher configures a dispatcher: Slots is the maximum number of calls out, Held of notifications held, Pushes of
-// pushes per notification. Tick is the least time between two batches, Dial the time-out of a connection attempt, and Idle
-// the time after which an unused connection is closed.
+// Dispatcher configures a dispatcher.
 type Dispatcher struct {
-	Count  int      `toml:"count"` // dispatchers that share the partners
-	Slots  int      `toml:"slots"`
-	Held   int      `toml:"held"`
-	Pushes int      `toml:"pushes"`
-	Tick   Duration `toml:"tick"`
-	Dial   Duration `toml:"dial"`
-	Idle   Duration `toml:"idle"`
-	Rest   Duration `toml:"rest"` // wait before the next push of an ordered key while an earlier one may still run
+	Count  int      `toml:"count"`  // dispatchers that share the partners
+	Slots  int      `toml:"slots"`  // maximum number of calls in flight
+	Held   int      `toml:"held"`   // maximum number of notifications held
+	Pushes int      `toml:"pushes"` // maximum number of pushes per notification
+	Tick   Duration `toml:"tick"`   // minimum time between two batches of decisions
+	Dial   Duration `toml:"dial"`   // time-out of a connection attempt
+	Idle   Duration `toml:"idle"`   // time after which an unused connection is closed
+	Rest   Duration `toml:"rest"`   // wait before the next push of an ordered key while an earlier one may still run
 }
 
-// Load is the load that the application is expected to submit.
+// Load is the load that the application is expected to submit to all its dispatchers together.
 type Load struct {
 	Rate float64 `toml:"rate"` // notifications per second
 	Body int     `toml:"body"` // bytes per notification
 }
 
-// Returns describes a destination that recovers from an outage: it starts with the share ColdFrom of its capacity and has
-// all of it after ColdSpan. It fails again if it gets more than Multiple of its capacity for Fall.
+// Returns describes a destination that recovers from an outage. At first it has the share ColdFrom of its capacity; after
+// ColdSpan it has all of it. It fails again if it receives more than Multiple times its capacity for as long as Fall.
 type Returns struct {
 	ColdFrom float64  `toml:"cold_from"`
 	ColdSpan Duration `toml:"cold_span"`
@@ -72,15 +70,15 @@
 	Fall     Duration `toml:"fall"`
 }
 
-// Layout describes the platform. Keys that are left out have the values of the old layout.
+// Layout describes the platform. Keys that are not set have the values of the old layout.
 type Layout struct {
 	List     string `toml:"list"`     // whether discovery pushes the list of endpoints or sends it on request
 	Rates    string `toml:"rates"`    // whether the list has the rates of partners
-	Refusals string `toml:"refusals"` // whether calls refused above a limit have a cost
-	Late     string `toml:"late"`     // whether benefit decays linearly after the objective or by halves
+	Refusals string `toml:"refusals"` // whether calls that are refused above a limit have a cost
+	Late     string `toml:"late"`     // whether benefit decays linearly or by halves after the objective
 }
 
-// Values of Layout. The first of each pair is the old layout's.
+// Values of the fields of Layout, in pairs. The first value of each pair is the old layout's.
 const (
 	ListPushed     = "pushed"
 	ListOnDemand   = "asked"
@@ -105,26 +103,27 @@
 	RoutesSeparate = "apart"
 )
 
-// Values of Topic.Repeat.
+// Values of Topic.Repeat, the repeat kinds. A Repeatable notification may run any number of times. Partners discard repeats
+// of a Collapsible one by its idempotency key. A OnceOnly one is not pushed again once a push of it may have run.
 const (
 	Repeatable  = "repeatable"
 	Collapsible = "collapsible"
 	OnceOnly    = "once-only"
 )
 
-// Topic is a topic type. LateBenefit is the share of Benefit to which the benefit decays after the objective, in the way
-// that Layout.Late sets.
+// Topic is a topic type. LateBenefit is the share of Benefit to which the benefit decays after the objective, in the manner
+// of Layout.Late.
 type Topic struct {
 	Name        string   `toml:"name"`
 	Repeat      string   `toml:"repeat"`
-	Resends     int      `toml:"resends"` // pushes after one that may have run; 0 for once-only
+	Resends     int      `toml:"resends"` // maximum number of pushes after one that may have run; 0 for once-only
 	Memory      Duration `toml:"memory"`  // collapsible: how long partners remember the idempotency key
 	Objective   Duration `toml:"objective"`
 	TTL         Duration `toml:"ttl"`
 	Benefit     float64  `toml:"benefit"`
 	LateBenefit float64  `toml:"late_benefit"`
 	Ordered     bool     `toml:"ordered"`
-	Key         string   `toml:"key"` // what the notifications of one ordered sequence share
+	Key         string   `toml:"key"` // ordered: what the notifications of one sequence have in common
 }
 
 // Tenant is the organisation of a client. Rate is its quota in notifications per second.
@@ -133,20 +132,19 @@
 	Rate float64 `toml:"rate"`
 }
 
-// Partner is a system that receives notifications. Dest is the number of its destination, Answer the mean time of an
-// answer, and Batch the maximum number of notifications in a call.
+// Partner is a system that receives notifications.
 type Partner struct {
 	Name      string     `toml:"name"`
-	Dest      int        `toml:"dest"`
+	Dest      int        `toml:"dest"` // number of its destination
 	Kind      string     `toml:"kind"`
 	Rate      float64    `toml:"rate,omitempty"` // calls per second that it accepts from all applications
 	Load      float64    `toml:"load"`           // notifications per second from this application
-	Answer    Duration   `toml:"answer"`
-	Batch     int        `toml:"batch"`
+	Answer    Duration   `toml:"answer"`         // mean time until a call is answered
+	Batch     int        `toml:"batch"`          // maximum number of notifications in a call
 	Protocol  string     `toml:"protocol"`
 	Routes    string     `toml:"routes"`           // shared or apart
-	DropsKeys bool       `toml:"drops_keys"`       // it does not recognize repeats by their idempotency key
-	Topics    []string   `toml:"topics,omitempty"` // topics that it receives; all if empty
+	DropsKeys bool       `toml:"drops_keys"`       // the partner does not recognize repeats by their idempotency key
+	Topics    []string   `toml:"topics,omitempty"` // names of the topics that it receives; all if empty
 	Endpoints []Endpoint `toml:"endpoints"`
 }
 
@@ -157,7 +155,7 @@
 	Zone string `toml:"zone"`
 }
 
-// Duration is a duration, written with a unit such as 2.5s or 500ms.
+// Duration is a duration that is written with a unit, such as 2.5s or 500ms.
 type Duration struct{ Seconds float64 }
 
 // UnmarshalText parses a duration. A number without a unit is an error.
@@ -170,7 +168,7 @@
 	return nil
 }
 
-// MarshalText formats a duration as UnmarshalText parses it.
+// MarshalText formats a duration in the form that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
 func (d Duration) String() string { return time.Duration(d.Seconds * float64(time.Second)).String() }
--- a/appconfig/appconfig_test.go
+++ b/appconfig/appconfig_test.go
@@ -14,6 +14,7 @@
 	"orchiddrift/settings"
 )
 
+// readExample returns the text of example/app.toml.
 func readExample(t testing.TB) string {
 	text, err := os.ReadFile("../example/app.toml")
 	if err != nil {
@@ -22,21 +23,22 @@
 	return string(text)
 }
 
-// withoutTable returns the text without the entries of a list.
+// withoutTable returns the text without the tables whose names begin with list.
 func withoutTable(text, list string) string {
 	var kept []string
-	in := false
+	inList := false
 	for _, line := range strings.Split(text, "\n") {
 		if strings.HasPrefix(line, "[") {
-			in = strings.HasPrefix(line, "[["+list)
+			inList = strings.HasPrefix(line, "[["+list)
 		}
-		if !in {
+		if !inList {
 			kept = append(kept, line)
 		}
 	}
 	return strings.Join(kept, "\n")
 }
 
+// findingsIn returns the findings of Parse and, if the text can be parsed, of Check.
 func findingsIn(file, text string) []appconfig.Finding {
 	a, found := appconfig.Parse(file, []byte(text))
 	if a != nil {
@@ -45,10 +47,10 @@
 	return found
 }
 
-// Each invalid configuration in testdata/bad.toml is refused by the expected rule, with the line of the mistake.
+// Each invalid configuration in testdata/bad.toml violates the expected rule. The finding has a reason, a remedy and the line.
 func TestInvalidConfigurations(t *testing.T) {
-	good := readExample(t)
-	if found := findingsIn("app.toml", good); len(found) > 0 {
+	example := readExample(t)
+	if found := findingsIn("app.toml", example); len(found) > 0 {
 		t.Fatalf("example refused: %v", found)
 	}
 	text, err := os.ReadFile("testdata/bad.toml")
@@ -62,9 +64,9 @@
 		t.Fatal(err)
 	}
 	for _, c := range data.Case {
-		bad := withoutTable(good, c.Without)
+		bad := withoutTable(example, c.Without)
 		if c.Without == "" {
-			if bad = strings.Replace(good, c.Old, c.New, 1); bad == good {
+			if bad = strings.Replace(example, c.Old, c.New, 1); bad == example {
 				t.Errorf("%s: the case does not change the example", c.Name)
 			}
 		}
@@ -85,8 +87,8 @@
 	t.Log(len(data.Case), "invalid configurations")
 }
 
-// All findings are returned at once, each with its place, reason and remedy, also those between two applications and
-// those between two versions of a file.
+// All findings of a file are returned at once, each with its place, reason and remedy. So are the findings that concern two
+// applications, and those that concern two versions of a file.
 func Example_findings() {
 	text, _ := os.ReadFile("../example/app.toml")
 	bad := strings.NewReplacer(`repeat = "once-only"`, `repeat = "sometimes"`, "slots = 12", "slots = 0", `key = "customer account"`, "").Replace(string(text))
@@ -134,11 +136,11 @@
 	}
 }
 
-// No text makes the checker panic, and each finding has a rule and a reason.
+// No text makes Parse or Check panic, and each finding has a rule and a reason.
 func FuzzParse(f *testing.F) {
-	good := readExample(f)
-	f.Add(good)
-	f.Add(strings.Replace(good, "topics", "partners", 3))
+	example := readExample(f)
+	f.Add(example)
+	f.Add(strings.Replace(example, "topics", "partners", 3))
 	f.Add("[[partners.endpoints]]\nid=\"x\"\n")
 	f.Add("partners = [{endpoints = [{}]}]\n[a.b]\nc.d = 1")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -150,7 +152,7 @@
 	})
 }
 
-// A file of the old layout is converted byte for byte as before the new layout existed.
+// The platform configuration of a file of the old layout is byte for byte the same as before the new layout was introduced.
 func TestOldLayoutUnchanged(t *testing.T) {
 	want, err := os.ReadFile("testdata/example.json")
 	if err != nil {
@@ -166,8 +168,8 @@
 	}
 }
 
-// A migrated file passes the checks and uses the new layout. Its platform format has the layout's settings, and the notes
-// name what the operator has to set.
+// A migrated file passes the checks and uses the new layout. Its platform configuration has the settings of that layout, and
+// the notes name what the operator has to set.
 func TestMigrate(t *testing.T) {
 	old, _ := appconfig.Parse("old.toml", []byte(strings.Replace(readExample(t), `addr = "127.0.0.1:9003"`, "addr = \"127.0.0.1:9003\"\nzone = \"north\"", 1)))
 	text, notes, err := appconfig.Migrate(old)
@@ -181,13 +183,13 @@
 	if old.UsesNewLayout() || !next.UsesNewLayout() || next.Topics[2] != old.Topics[2] || next.Dispatcher != old.Dispatcher {
 		t.Errorf("topics or dispatcher changed, or wrong layout:\n%s", text)
 	}
-	form, err := next.PlatformConfig()
+	platformConfig, err := next.PlatformConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{`"weight-kind": "silent"`, `"loses-worth": "halves"`, `"refusal-cost": 0`, `"weight": 1,`} {
-		if !strings.Contains(string(form), want) {
-			t.Errorf("%s not found in %s", want, form)
+		if !strings.Contains(string(platformConfig), want) {
+			t.Errorf("%s not found in %s", want, platformConfig)
 		}
 	}
 	for _, want := range []string{"line 60: partners[0].rate: not carried over: 10 per second", "zones[0].fee: fill in", "partners[1].routes: fill in"} {
--- a/appconfig/migrate.go
+++ b/appconfig/migrate.go
@@ -11,7 +11,7 @@
 // MigrationNote names a setting that a migration could not carry over, or that the operator has to set or review.
 type MigrationNote struct {
 	Key    string
-	Line   int // of the old file, 0 if the key is new
+	Line   int // in the old file: of the key or of the closest table that contains it, 0 if there is neither
 	Reason string
 }
 
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%s: %s", n.Key, n.Reason)
 }
 
-// UsesNewLayout reports whether a file has any setting of the new layout.
+// UsesNewLayout reports whether the file sets any key of the new layout: layout, zones or routes.
 func (a *App) UsesNewLayout() bool {
 	for key := range a.lines {
 		if strings.HasPrefix(key, "layout") || strings.HasPrefix(key, "zones") || strings.HasSuffix(key, ".routes") {
@@ -32,9 +32,9 @@
 	return false
 }
 
-// Migrate returns the file for the new layout that corresponds to a valid file of the old one: the list has no rates,
-// endpoints are separate routes, refusals are free and benefit decays by halves. The notes list what could not be carried
-// over and what the operator has to set or review.
+// Migrate returns the text of a file of the new layout that corresponds to old, a valid file of the old layout. In the new
+// file the list has no rates, endpoints are separate routes, refusals are free and benefit decays by halves. The notes name
+// what was not carried over and what the operator has to set or review.
 func Migrate(old *App) ([]byte, []MigrationNote, error) {
 	migrated := *old
 	migrated.Layout = Layout{List: ListPushed, Rates: RatesNone, Refusals: RefusalsFree, Late: LateHalving}
@@ -43,20 +43,20 @@
 		{"comments", 0, "not carried over: copy those that still apply"},
 		{"layout.list", 0, "fill in: pushed is assumed; set asked if discovery sends the list only on request"},
 	}
-	zones := map[string]bool{"": true}
-	for i, p := range old.Partners {
+	seenZones := map[string]bool{"": true}
+	for i, partner := range old.Partners {
 		key := fmt.Sprintf("partners[%d].", i)
 		notes = append(notes, MigrationNote{key + "rate", old.lineOf(key + "rate"),
-			fmt.Sprintf("not carried over: %v per second for %q; the new list has no rates, the limit is learned from answers", p.Rate, p.Name)})
-		p.Rate, p.Routes = 0, RoutesSeparate
-		if len(p.Endpoints) > 1 {
+			fmt.Sprintf("not carried over: %v per second for %q; the new list has no rates, the limit is learned from answers", partner.Rate, partner.Name)})
+		partner.Rate, partner.Routes = 0, RoutesSeparate
+		if len(partner.Endpoints) > 1 {
 			notes = append(notes, MigrationNote{key + "routes", 0,
-				fmt.Sprintf("fill in: apart is assumed; set shared for all partners of kind %q if the endpoints of %q share one limit", p.Kind, p.Name)})
+				fmt.Sprintf("fill in: apart is assumed; set shared for all partners of kind %q if the endpoints of %q share one limit", partner.Kind, partner.Name)})
 		}
-		migrated.Partners = append(migrated.Partners, p)
-		for _, e := range p.Endpoints {
-			if !zones[e.Zone] {
-				zones[e.Zone] = true
+		migrated.Partners = append(migrated.Partners, partner)
+		for _, e := range partner.Endpoints {
+			if !seenZones[e.Zone] {
+				seenZones[e.Zone] = true
 				notes = append(notes, MigrationNote{fmt.Sprintf("zones[%d].fee", len(migrated.Zones)), 0, fmt.Sprintf("fill in: 0 is assumed for %q", e.Zone)})
 				migrated.Zones = append(migrated.Zones, Zone{Name: e.Zone})
 			}
--- a/appconfig/read.go
+++ b/appconfig/read.go
@@ -11,7 +11,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Read reads a file and applies the defaults. If the file cannot be read, it returns nil and the findings.
+// Read reads and parses a file as Parse does. If the file cannot be read, it returns nil and a finding.
 func Read(file string) (*App, []Finding) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -20,7 +20,8 @@
 	return Parse(file, text)
 }
 
-// Parse parses the text of a file and applies the defaults. If the text is invalid, it returns nil and the findings.
+// Parse parses the text of a file and applies the defaults. If the text is not valid TOML, has unknown keys or has durations
+// without a unit, it returns nil and the findings. Check checks the values.
 func Parse(file string, text []byte) (*App, []Finding) {
 	app := &App{File: file, Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 3}, Ledger: Ledger{Sync: "none"},
 		Dispatcher: Dispatcher{Count: 1, Slots: 32, Held: 400, Pushes: 8, Tick: Duration{0.005}, Dial: Duration{1.5}, Idle: Duration{15}},
@@ -29,7 +30,7 @@
 	decoder := toml.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(app)
-	if unitless := durationsWithoutUnit(file, text); len(unitless) > 0 { // the library reports these without a line
+	if unitless := durationsWithoutUnit(file, text); len(unitless) > 0 { // the decoder reports these without a line
 		return nil, unitless
 	}
 	var strictErr *toml.StrictMissingError
@@ -96,7 +97,7 @@
 	return findings
 }
 
-// keyLines returns the line of each key of a text. Entries of array tables are numbered from 0.
+// keyLines returns the line of each key and table of a text, by path. Entries of array tables are numbered from 0.
 func keyLines(text []byte) map[string]int {
 	lines, arrayLengths := map[string]int{}, map[string]int{}
 	table := ""
@@ -131,7 +132,7 @@
 	return lines
 }
 
-// indexedPath returns the key of a table. Each array on the path gets the index of its latest entry.
+// indexedPath joins a path by dots. Each array on the path gets the index of its latest entry.
 func indexedPath(path []string, arrayLengths map[string]int) string {
 	indexed := ""
 	for i, name := range path {
@@ -145,7 +146,7 @@
 	return indexed
 }
 
-// lineOf returns the line of a key, or of the closest table that contains it, or 0 if there is none.
+// lineOf returns the line of a key, or of the closest table that contains it, or 0 if the file has neither.
 func (a *App) lineOf(key string) int {
 	for key != "" {
 		if line := a.lines[key]; line > 0 {
--- a/appconfig/rules.go
+++ b/appconfig/rules.go
@@ -10,14 +10,15 @@
 
 // Finding is a problem in a file: its place, the rule that found it, and the remedy.
 type Finding struct {
-	Rule   string `json:"rule"`
+	Rule   string `json:"rule"` // ID of the rule
 	File   string `json:"file"`
-	Line   int    `json:"line,omitempty"`
-	Key    string `json:"key,omitempty"`
+	Line   int    `json:"line,omitempty"` // from 1; 0 if unknown
+	Key    string `json:"key,omitempty"`  // path of the key, as in partners[0].rate
 	Reason string `json:"reason"`
 	Remedy string `json:"remedy"`
 }
 
+// String formats a finding in one line.
 func (f Finding) String() string {
 	place := f.File
 	if f.Line > 0 {
@@ -29,7 +30,7 @@
 	return fmt.Sprintf("%s: %s: %s. %s", place, f.Rule, f.Reason, f.Remedy)
 }
 
-// Rule is a check, identified by its ID.
+// Rule is a rule that configurations have to keep. Description describes its violation.
 type Rule struct {
 	ID          string `json:"id"`
 	Description string `json:"what"`
@@ -74,9 +75,10 @@
 	ruleLoosenedRepeat = Rule{"OD050", "a reload would loosen a once-only topic type", "Drain the application and restart it, so that no pending notification is under both settings."}
 )
 
-// Rules returns all rules.
+// Rules returns all rules, ordered by ID.
 func Rules() []Rule {
-	return []Rule{ruleUnreadable, ruleUnknownKey, ruleUniqueName, ruleAddress, ruleStateFolder, ruleRange, ruleAllowedValues, ruleRepeatKind, ruleOnceOnlyResends, ruleDedupWindow, ruleObjectivePastTTL, ruleOrderedWithoutKey, ruleEmptyList,
+	return []Rule{ruleUnreadable, ruleUnknownKey, ruleUniqueName, ruleAddress, ruleStateFolder, ruleRange, ruleAllowedValues,
+		ruleRepeatKind, ruleOnceOnlyResends, ruleDedupWindow, ruleObjectivePastTTL, ruleOrderedWithoutKey, ruleEmptyList,
 		ruleNoEndpoint, ruleSharedEndpoint, ruleDropsKeys, ruleUnknownTopic, rulePartnerOverload, ruleFewSlots, ruleFewHeld, ruleSmallDisk, ruleLoadSum,
 		ruleLayoutValue, ruleRateNotListed, ruleRoutes, ruleZone, ruleSameName, ruleSameListen, ruleSameState,
 		ruleRateMismatch, ruleFleetOverload, ruleLoosenedRepeat}
@@ -88,23 +90,26 @@
 	findings []Finding
 }
 
+// report adds a finding of rule r at key.
 func (c *checker) report(r Rule, key, format string, args ...any) {
 	c.findings = append(c.findings, Finding{Rule: r.ID, File: c.File, Line: c.lineOf(key), Key: key, Reason: fmt.Sprintf(format, args...), Remedy: r.Remedy})
 }
 
-// checkRange reports v if it is not in the range from lowest to highest. NaN is out of every range.
+// checkRange reports v unless it is in the range from lowest to highest. NaN is in no range.
 func (c *checker) checkRange(key string, v, lowest, highest float64) {
 	if !(v >= lowest && v <= highest) {
 		c.report(ruleRange, key, "%v is not in the range %v to %v", v, lowest, highest)
 	}
 }
 
+// checkOneOf reports v unless it is one of allowed.
 func (c *checker) checkOneOf(key, v string, allowed ...string) {
 	if !slices.Contains(allowed, v) {
 		c.report(ruleAllowedValues, key, "%q is not one of %v", v, allowed)
 	}
 }
 
+// checkAddress reports v unless it is host:port with a port from 1 to 65535.
 func (c *checker) checkAddress(key, v string) {
 	host, port, err := net.SplitHostPort(v)
 	portNumber, portErr := strconv.Atoi(port)
@@ -121,7 +126,7 @@
 	seen[v] = true
 }
 
-// Check returns all findings of one application.
+// Check returns the findings of one application on its own. CheckFleet checks applications together.
 func Check(a *App) []Finding {
 	c := &checker{App: a}
 	c.checkUniqueName(map[string]bool{}, "name", a.Name)
@@ -168,29 +173,29 @@
 		c.report(ruleEmptyList, "topics", "there are no topic types")
 	}
 	seen := map[string]bool{}
-	for i, t := range c.Topics {
+	for i, topic := range c.Topics {
 		prefix := fmt.Sprintf("topics[%d].", i)
-		c.checkUniqueName(seen, prefix+"name", t.Name)
-		if t.Repeat != Repeatable && t.Repeat != Collapsible && t.Repeat != OnceOnly {
-			c.report(ruleRepeatKind, prefix+"repeat", "%q is not a repeat kind", t.Repeat)
+		c.checkUniqueName(seen, prefix+"name", topic.Name)
+		if topic.Repeat != Repeatable && topic.Repeat != Collapsible && topic.Repeat != OnceOnly {
+			c.report(ruleRepeatKind, prefix+"repeat", "%q is not a repeat kind", topic.Repeat)
 		}
-		c.checkRange(prefix+"resends", float64(t.Resends), 0, 100)
-		c.checkRange(prefix+"objective", t.Objective.Seconds, 0.01, 3600)
-		c.checkRange(prefix+"ttl", t.TTL.Seconds, 0.05, 86400)
-		c.checkRange(prefix+"benefit", t.Benefit, 0.001, 1e6)
-		c.checkRange(prefix+"late_benefit", t.LateBenefit, 0, 1)
-		if t.Objective.Seconds > t.TTL.Seconds {
-			c.report(ruleObjectivePastTTL, prefix+"objective", "%v is longer than the TTL of %v", t.Objective, t.TTL)
+		c.checkRange(prefix+"resends", float64(topic.Resends), 0, 100)
+		c.checkRange(prefix+"objective", topic.Objective.Seconds, 0.01, 3600)
+		c.checkRange(prefix+"ttl", topic.TTL.Seconds, 0.05, 86400)
+		c.checkRange(prefix+"benefit", topic.Benefit, 0.001, 1e6)
+		c.checkRange(prefix+"late_benefit", topic.LateBenefit, 0, 1)
+		if topic.Objective.Seconds > topic.TTL.Seconds {
+			c.report(ruleObjectivePastTTL, prefix+"objective", "%v is longer than the TTL of %v", topic.Objective, topic.TTL)
 		}
-		if t.Repeat == OnceOnly && t.Resends > 0 {
-			c.report(ruleOnceOnlyResends, prefix+"resends", "%d resends could run a once-only %q more than once", t.Resends, t.Name)
+		if topic.Repeat == OnceOnly && topic.Resends > 0 {
+			c.report(ruleOnceOnlyResends, prefix+"resends", "%d resends could run a once-only %q more than once", topic.Resends, topic.Name)
 		}
-		const objectivesPerPush = 2 // the longest wait for a push, in objectives
-		if needed := (Duration{float64(t.Resends*objectivesPerPush) * t.Objective.Seconds}); t.Repeat == Collapsible && t.Memory.Seconds < needed.Seconds {
-			c.report(ruleDedupWindow, prefix+"memory", "%v is less than the %v that %d resends may take", t.Memory, needed, t.Resends)
+		const objectivesPerPush = 2 // maximum time that a push may take, as a multiple of the objective
+		if needed := (Duration{float64(topic.Resends*objectivesPerPush) * topic.Objective.Seconds}); topic.Repeat == Collapsible && topic.Memory.Seconds < needed.Seconds {
+			c.report(ruleDedupWindow, prefix+"memory", "%v is less than the %v that %d resends may take", topic.Memory, needed, topic.Resends)
 		}
-		if t.Ordered && t.Key == "" {
-			c.report(ruleOrderedWithoutKey, prefix+"ordered", "%q has no key", t.Name)
+		if topic.Ordered && topic.Key == "" {
+			c.report(ruleOrderedWithoutKey, prefix+"ordered", "%q has no key", topic.Name)
 		}
 	}
 }
@@ -200,49 +205,49 @@
 		c.report(ruleEmptyList, "partners", "there are no partners")
 	}
 	names, dests, ids, owner := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]string{}
-	for i, p := range c.Partners {
+	for i, partner := range c.Partners {
 		prefix := fmt.Sprintf("partners[%d].", i)
-		c.checkUniqueName(names, prefix+"name", p.Name)
-		c.checkUniqueName(dests, prefix+"dest", strconv.Itoa(p.Dest))
-		c.checkRange(prefix+"dest", float64(p.Dest), 0, 1e9)
-		if unlisted := c.Layout.Rates == RatesNone; unlisted && p.Rate != 0 {
-			c.report(ruleRateNotListed, prefix+"rate", "%v per second for %q, but layout.rates is %q", p.Rate, p.Name, c.Layout.Rates)
+		c.checkUniqueName(names, prefix+"name", partner.Name)
+		c.checkUniqueName(dests, prefix+"dest", strconv.Itoa(partner.Dest))
+		c.checkRange(prefix+"dest", float64(partner.Dest), 0, 1e9)
+		if unlisted := c.Layout.Rates == RatesNone; unlisted && partner.Rate != 0 {
+			c.report(ruleRateNotListed, prefix+"rate", "%v per second for %q, but layout.rates is %q", partner.Rate, partner.Name, c.Layout.Rates)
 		} else if !unlisted {
-			c.checkRange(prefix+"rate", p.Rate, 0.001, 1e6)
+			c.checkRange(prefix+"rate", partner.Rate, 0.001, 1e6)
 		}
-		c.checkRange(prefix+"load", p.Load, 0, 1e6)
-		c.checkRange(prefix+"answer", p.Answer.Seconds, 0, 600)
-		c.checkRange(prefix+"batch", float64(p.Batch), 1, 1000)
-		c.checkOneOf(prefix+"protocol", p.Protocol, "http")
-		if p.Rate > 0 && p.Load > p.Rate*float64(p.Batch) {
-			c.report(rulePartnerOverload, prefix+"load", "%v notifications per second are more than %q takes: %v calls per second of %d", p.Load, p.Name, p.Rate, p.Batch)
+		c.checkRange(prefix+"load", partner.Load, 0, 1e6)
+		c.checkRange(prefix+"answer", partner.Answer.Seconds, 0, 600)
+		c.checkRange(prefix+"batch", float64(partner.Batch), 1, 1000)
+		c.checkOneOf(prefix+"protocol", partner.Protocol, "http")
+		if partner.Rate > 0 && partner.Load > partner.Rate*float64(partner.Batch) {
+			c.report(rulePartnerOverload, prefix+"load", "%v notifications per second are more than %q takes: %v calls per second of %d", partner.Load, partner.Name, partner.Rate, partner.Batch)
 		}
-		for k, name := range p.Topics {
+		for k, name := range partner.Topics {
 			if !slices.ContainsFunc(c.Topics, func(t Topic) bool { return t.Name == name }) {
 				c.report(ruleUnknownTopic, prefix+"topics", "%q, entry %d, is not a topic type of this file", name, k+1)
 			}
 		}
 		for _, t := range c.Topics {
-			if p.DropsKeys && t.Repeat == Collapsible && (len(p.Topics) == 0 || slices.Contains(p.Topics, t.Name)) {
-				c.report(ruleDropsKeys, prefix+"drops_keys", "a resent %q would run again at %q", t.Name, p.Name)
+			if partner.DropsKeys && t.Repeat == Collapsible && (len(partner.Topics) == 0 || slices.Contains(partner.Topics, t.Name)) {
+				c.report(ruleDropsKeys, prefix+"drops_keys", "a resent %q would run again at %q", t.Name, partner.Name)
 			}
 		}
-		if len(p.Endpoints) == 0 {
-			c.report(ruleNoEndpoint, prefix+"endpoints", "%q has no endpoint", p.Name)
+		if len(partner.Endpoints) == 0 {
+			c.report(ruleNoEndpoint, prefix+"endpoints", "%q has no endpoint", partner.Name)
 		}
-		for k, e := range p.Endpoints {
+		for k, e := range partner.Endpoints {
 			prefix := fmt.Sprintf("%sendpoints[%d].", prefix, k)
 			c.checkUniqueName(ids, prefix+"id", e.ID)
 			c.checkAddress(prefix+"addr", e.Addr)
-			if other, ok := owner[e.Addr]; ok && other != p.Name {
-				c.report(ruleSharedEndpoint, prefix+"addr", "%s belongs to %q and %q", e.Addr, other, p.Name)
+			if other, ok := owner[e.Addr]; ok && other != partner.Name {
+				c.report(ruleSharedEndpoint, prefix+"addr", "%s belongs to %q and %q", e.Addr, other, partner.Name)
 			}
-			owner[e.Addr] = p.Name
+			owner[e.Addr] = partner.Name
 		}
 	}
 }
 
-// checkLayout checks the layout section and the routes and zones that depend on it.
+// checkLayout checks the layout section, the partners' routes and the zones.
 func (c *checker) checkLayout() {
 	l := c.Layout
 	for _, setting := range []struct{ key, v, old, next string }{{"list", l.List, ListPushed, ListOnDemand}, {"rates", l.Rates, RatesListed, RatesNone},
@@ -273,36 +278,40 @@
 	}
 }
 
-// checkCapacity checks whether slots, room and disk suffice for the stated load.
+// checkCapacity checks that the partners' loads add up to the stated load, and that the slots, the number of notifications
+// that may be held and the disk space of a dispatcher suffice for its share of the load.
 func (c *checker) checkCapacity() {
-	rate, callsOut, ttl := c.Load.Rate/float64(max(1, c.Dispatcher.Count)), 0.0, 0.0
+	arrivalRate, meanCallsOut, maxTTL := c.Load.Rate/float64(max(1, c.Dispatcher.Count)), 0.0, 0.0
 	partnerLoad := 0.0
 	for _, p := range c.Partners {
 		partnerLoad += p.Load
-		callsOut += p.Load / float64(max(1, p.Batch)) * p.Answer.Seconds / float64(max(1, c.Dispatcher.Count))
+		meanCallsOut += p.Load / float64(max(1, p.Batch)) * p.Answer.Seconds / float64(max(1, c.Dispatcher.Count))
 	}
 	for _, t := range c.Topics {
-		ttl = max(ttl, t.TTL.Seconds)
+		maxTTL = max(maxTTL, t.TTL.Seconds)
 	}
-	const tolerance = 0.1
-	if partnerLoad > 0 && math.Abs(partnerLoad-c.Load.Rate) > tolerance*c.Load.Rate {
+	const maxDeviation = 0.1 // between load.rate and the sum of the partners' loads, as a share of load.rate
+	if partnerLoad > 0 && math.Abs(partnerLoad-c.Load.Rate) > maxDeviation*c.Load.Rate {
 		c.report(ruleLoadSum, "load.rate", "partners' loads add up to %.4g, load.rate is %.4g", partnerLoad, c.Load.Rate)
 	}
-	if callsOut > float64(c.Dispatcher.Slots) {
-		c.report(ruleFewSlots, "dispatcher.slots", "%.4g calls are out at once on average, with %d slots", callsOut, c.Dispatcher.Slots)
+	if meanCallsOut > float64(c.Dispatcher.Slots) {
+		c.report(ruleFewSlots, "dispatcher.slots", "%.4g calls are out at once on average, with %d slots", meanCallsOut, c.Dispatcher.Slots)
 	}
-	if rate > float64(c.Dispatcher.Held) {
-		c.report(ruleFewHeld, "dispatcher.held", "%.4g notifications arrive per second, and %d may be held", rate, c.Dispatcher.Held)
+	if arrivalRate > float64(c.Dispatcher.Held) {
+		c.report(ruleFewHeld, "dispatcher.held", "%.4g notifications arrive per second, and %d may be held", arrivalRate, c.Dispatcher.Held)
 	}
-	const recordBytes, pendingShare = 600, 0.55 // bytes of a record without its body; share of the folder for pending notifications
-	held := min(rate*ttl, float64(c.Dispatcher.Held))
-	if neededMB := held * float64(recordBytes+c.Load.Body) / 1e6; neededMB > pendingShare*c.Limits.DiskMB {
-		c.report(ruleSmallDisk, "limits.disk_mb", "%.0f pending notifications take %.3g MB, and %.3g MB are available for them", held, neededMB, pendingShare*c.Limits.DiskMB)
+	// recordOverheadBytes is the size in the ledger of a pending notification without its body, and pendingShare the share of
+	// the ledger's disk space that pending notifications may take.
+	const recordOverheadBytes, pendingShare = 600, 0.55
+	pending := min(arrivalRate*maxTTL, float64(c.Dispatcher.Held))
+	if neededMB := pending * float64(recordOverheadBytes+c.Load.Body) / 1e6; neededMB > pendingShare*c.Limits.DiskMB {
+		c.report(ruleSmallDisk, "limits.disk_mb", "%.0f pending notifications take %.3g MB, and %.3g MB are available for them", pending, neededMB, pendingShare*c.Limits.DiskMB)
 	}
 }
 
-// CheckFleet returns the findings between applications that have none of their own.
+// CheckFleet returns the findings that concern several applications together. Check must have no findings for any of them.
 func CheckFleet(apps []*App) []Finding {
+	// claim is what an application states about a partner: its rate and the application's load, both in calls per second.
 	type claim struct {
 		app  *App
 		key  string
@@ -326,28 +335,31 @@
 			}
 			field.seen[field.v] = a
 		}
-		for i, p := range a.Partners {
-			if len(p.Endpoints) == 0 {
+		for i, partner := range a.Partners {
+			if len(partner.Endpoints) == 0 {
 				continue
 			}
-			claims[p.Name] = append(claims[p.Name], claim{a, fmt.Sprintf("partners[%d].", i), p.Rate, p.Load / float64(max(1, p.Batch))})
-			partnerClaims := claims[p.Name]
-			if first := partnerClaims[0]; first.rate != p.Rate {
-				report(a, ruleRateMismatch, partnerClaims[len(partnerClaims)-1].key+"rate", "%q has rate %v here and %v in %s", p.Name, p.Rate, first.rate, first.app.File)
+			claims[partner.Name] = append(claims[partner.Name], claim{a, fmt.Sprintf("partners[%d].", i), partner.Rate, partner.Load / float64(max(1, partner.Batch))})
+			partnerClaims := claims[partner.Name]
+			if first := partnerClaims[0]; first.rate != partner.Rate {
+				report(a, ruleRateMismatch, partnerClaims[len(partnerClaims)-1].key+"rate", "%q has rate %v here and %v in %s", partner.Name, partner.Rate, first.rate, first.app.File)
 			}
-			load := 0.0
+			totalLoad := 0.0
 			for _, c := range partnerClaims {
-				load += c.load
+				totalLoad += c.load
 			}
-			if partnerClaims[0].rate > 0 && load > partnerClaims[0].rate && load-partnerClaims[len(partnerClaims)-1].load <= partnerClaims[0].rate && len(partnerClaims) > 1 {
-				report(a, ruleFleetOverload, partnerClaims[len(partnerClaims)-1].key+"load", "%d applications together send %q %.4g calls per second, and its rate is %v", len(partnerClaims), p.Name, load, partnerClaims[0].rate)
+			// Only the application whose load makes the sum exceed the rate is reported.
+			if partnerClaims[0].rate > 0 && totalLoad > partnerClaims[0].rate &&
+				totalLoad-partnerClaims[len(partnerClaims)-1].load <= partnerClaims[0].rate && len(partnerClaims) > 1 {
+				report(a, ruleFleetOverload, partnerClaims[len(partnerClaims)-1].key+"load",
+					"%d applications together send %q %.4g calls per second, and its rate is %v", len(partnerClaims), partner.Name, totalLoad, partnerClaims[0].rate)
 			}
 		}
 	}
 	return findings
 }
 
-// CheckReload returns the findings that forbid replacing old by next while the process runs.
+// CheckReload returns the findings that forbid replacing old by next while the dispatcher runs.
 func CheckReload(old, next *App) []Finding {
 	c := &checker{App: next}
 	for i, t := range next.Topics {
