--- a/cmd/simhost/boot.go
+++ b/cmd/simhost/boot.go
@@ -10,7 +10,7 @@
 	"orchiddrift/simwire"
 )
 
-// newInstance returns an instance for a NEW_INSTANCE line, which holds the seed and the settings as path=value pairs.
+// newInstance returns an instance for a NEW_INSTANCE line, whose values are the seed and then settings as path=value pairs.
 func newInstance(line simwire.Line) (*instance, error) {
 	seed, err := strconv.ParseUint(line.Values[0], 10, 64)
 	if err != nil {
--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -9,12 +9,14 @@
 	"orchiddrift/simwire"
 )
 
-// fieldReader reads the values of a line and keeps the first error.
+// fieldReader reads the values of a line and keeps the first error. Its methods have the index of a value and the name of its
+// field as parameters.
 type fieldReader struct {
 	simwire.Line
 	err error
 }
 
+// keepError returns v and keeps err, unless an earlier error is kept.
 func keepError[T any](f *fieldReader, v T, err error) T {
 	if f.err == nil {
 		f.err = err
@@ -32,6 +34,7 @@
 	return keepError(f, v, err)
 }
 
+// seconds returns a value in milliseconds as seconds.
 func (f *fieldReader) seconds(i int, name string) float64 { return f.float(i, name) / 1000 }
 
 func (f *fieldReader) int(i int, name string) int64 {
@@ -49,13 +52,14 @@
 	return keepError(f, v, err)
 }
 
-// valueCounts holds the number of values of each event. NEW_INSTANCE is left out: its number of settings varies.
+// valueCounts holds the number of values of each event, except for NEW_INSTANCE, which has any number of settings.
 var valueCounts = map[string]int{"TO": 1, "DOWN": 0, "DEFINE_LIST": 2, "UPDATE": 3, "REQ": 8, "UNDER_WAY": 4,
 	"RESPONSE": 8, "CLIENT_GONE": 1, "ELAPSED": 1, "PROBE_RESULT": 4, "INBOX": 2}
 
-// handleEvent applies the event of one line to the instance that the last TO event named.
+// handleEvent applies the event of one line to the instance that the last TO event named. Values that are read but not used
+// are only checked for errors.
 func (h *host) handleEvent(line simwire.Line) error {
-	f := &fieldReader{Line: line}
+	event := &fieldReader{Line: line}
 	if line.Name == "NEW_INSTANCE" {
 		if len(line.Values) == 0 {
 			return line.RequireValues(1)
@@ -67,20 +71,20 @@
 	}
 	switch line.Name {
 	case "TO":
-		h.eventInstance = f.int(0, "i")
-		if f.err == nil && (h.eventInstance < 0 || line.Values[0] == simwire.Absent) {
-			f.err = line.FieldError("i", line.Values[0])
+		h.eventInstance = event.int(0, "i")
+		if event.err == nil && (h.eventInstance < 0 || line.Values[0] == simwire.Absent) {
+			event.err = line.FieldError("i", line.Values[0])
 		}
-		return f.err
+		return event.err
 	case "DEFINE_LIST":
-		return h.defineList(f)
+		return h.defineList(event)
 	}
 	if h.eventInstance == noInstance {
 		return fmt.Errorf("line %d: %s before any TO event", line.Number, line.Name)
 	}
 	instanceID := h.eventInstance
-	if !slices.Contains(h.touched, instanceID) {
-		h.touched = append(h.touched, instanceID)
+	if !slices.Contains(h.touchedInstances, instanceID) {
+		h.touchedInstances = append(h.touchedInstances, instanceID)
 	}
 	if line.Name == "NEW_INSTANCE" {
 		inst, err := newInstance(line)
@@ -98,33 +102,33 @@
 	case "DOWN":
 		delete(h.instances, instanceID)
 	case "UPDATE":
-		return h.updateList(f, inst)
+		return h.updateList(event, inst)
 	case "REQ":
-		ntf := decide.Notification{ID: f.text(0, "corr"), Topic: f.text(1, "grade"), Tenant: line.Optional(2),
-			Key: line.Optional(3), TimeLeft: f.seconds(4, "left-ms"), Dest: f.text(6, "addressee-no")}
-		f.float(5, "hint-ms")
-		f.int(7, "attrs")
-		if _, known := inst.scheduler.TTL(ntf.Topic); f.err == nil && !known {
-			f.err = line.FieldError("grade", ntf.Topic)
+		ntf := decide.Notification{ID: event.text(0, "corr"), Topic: event.text(1, "grade"), Tenant: line.Optional(2),
+			Key: line.Optional(3), TimeLeft: event.seconds(4, "left-ms"), Dest: event.text(6, "addressee-no")}
+		event.float(5, "hint-ms")
+		event.int(7, "attrs")
+		if _, known := inst.scheduler.TTL(ntf.Topic); event.err == nil && !known {
+			event.err = line.FieldError("grade", ntf.Topic)
 		}
-		if f.err != nil {
-			return f.err
+		if event.err != nil {
+			return event.err
 		}
 		inst.notifications[ntf.ID] = ntf
 		h.reportPanics(instanceID, func() { h.writeDecision(instanceID, inst, inst.scheduler.Place(h.now, ntf)) })
 	case "RESPONSE":
-		report := f.report(7, "telemetry")
-		waitMS := f.int(3, "wait-ms")
-		outcome := decide.Outcome{NotificationID: f.text(0, "corr"), Final: f.bool(1, "complete"), Result: parseResult(f, 2),
-			Endpoint: f.text(4, "endpoint"), PushNumber: int(f.int(5, "go")), Latency: f.seconds(6, "latency-ms")}
+		report := event.report(7, "telemetry")
+		waitMS := event.int(3, "wait-ms")
+		outcome := decide.Outcome{NotificationID: event.text(0, "corr"), Final: event.bool(1, "complete"), Result: parseResult(event, 2),
+			Endpoint: event.text(4, "endpoint"), PushNumber: int(event.int(5, "go")), Latency: event.seconds(6, "latency-ms")}
 		if outcome.Result == decide.Throttled {
 			outcome.Wait = float64(waitMS) / 1000
 		}
 		outcome.NoSlot = outcome.Result == decide.NotAttempted && waitMS == 1
 		_, outcome.LimitReported = report["x0"]
 		outcome.LimitLeft, outcome.Limit = report["x0"], report["x1"]
-		if f.err != nil {
-			return f.err
+		if event.err != nil {
+			return event.err
 		}
 		h.reportPanics(instanceID, func() { h.writeDecision(instanceID, inst, inst.scheduler.HandleOutcome(h.now, outcome)) })
 		inst.pushesOut[outcome.NotificationID]--
@@ -132,41 +136,41 @@
 			inst.markAnswered(outcome.NotificationID)
 		}
 	case "CLIENT_GONE":
-		outcome := decide.Outcome{NotificationID: f.text(0, "corr"), Result: decide.Withdrawn, Final: true}
-		if f.err != nil {
-			return f.err
+		outcome := decide.Outcome{NotificationID: event.text(0, "corr"), Result: decide.Withdrawn, Final: true}
+		if event.err != nil {
+			return event.err
 		}
 		h.reportPanics(instanceID, func() { h.writeDecision(instanceID, inst, inst.scheduler.HandleOutcome(h.now, outcome)) })
 		inst.markAnswered(outcome.NotificationID)
 	case "PROBE_RESULT":
-		report := f.report(3, "telemetry")
-		outcome := decide.Outcome{Endpoint: f.text(0, "endpoint"), Result: parseResult(f, 1),
-			Latency: f.seconds(2, "latency-ms")}
+		report := event.report(3, "telemetry")
+		outcome := decide.Outcome{Endpoint: event.text(0, "endpoint"), Result: parseResult(event, 1),
+			Latency: event.seconds(2, "latency-ms")}
 		_, outcome.LimitReported = report["x0"]
 		outcome.LimitLeft, outcome.Limit = report["x0"], report["x1"]
-		if f.err != nil {
-			return f.err
+		if event.err != nil {
+			return event.err
 		}
 		h.reportPanics(instanceID, func() { h.writeDecision(instanceID, inst, inst.scheduler.HandleOutcome(h.now, outcome)) })
 	case "INBOX":
-		f.int(0, "src-peer")
+		event.int(0, "src-peer")
 		outcome := decide.Outcome{Result: decide.PeerMessage}
-		if f.err != nil {
-			return f.err
+		if event.err != nil {
+			return event.err
 		}
 		h.reportPanics(instanceID, func() { h.writeDecision(instanceID, inst, inst.scheduler.HandleOutcome(h.now, outcome)) })
-	case "UNDER_WAY":
-		f.text(0, "corr")
-		f.int(1, "go")
-		f.text(2, "endpoint")
-		f.float(3, "latency-ms")
-	case "ELAPSED":
-		f.text(0, "key-back")
-	}
-	return f.err
+	case "UNDER_WAY": // no effect other than placeDue at the end of the batch
+		event.text(0, "corr")
+		event.int(1, "go")
+		event.text(2, "endpoint")
+		event.float(3, "latency-ms")
+	case "ELAPSED": // a timer has fired: placeDue runs at the end of the batch
+		event.text(0, "key-back")
+	}
+	return event.err
 }
 
-// parseResult parses value i as a completion code.
+// parseResult returns the result that value i, a completion code, stands for.
 func parseResult(f *fieldReader, i int) decide.Result {
 	codes := map[string]decide.Result{"1": decide.Delivered, "0": decide.Failed, "2": decide.Throttled,
 		"3": decide.TimedOut, "4": decide.NotConnected, "5": decide.Reset, "6": decide.Cancelled, "7": decide.NotAttempted}
@@ -177,17 +181,17 @@
 	return result
 }
 
-// defineList reads the member lines that follow a DEFINE_LIST event and stores them under the event's slot.
-func (h *host) defineList(f *fieldReader) error {
-	slot, count := f.int(0, "slot"), f.int(1, "members")
-	if f.err == nil && (slot < 0 || slot > 15 || f.Values[0] == simwire.Absent) {
-		f.err = f.FieldError("slot", f.Values[0])
+// defineList reads the member lines that follow a DEFINE_LIST event and stores the list in the event's slot.
+func (h *host) defineList(event *fieldReader) error {
+	slot, count := event.int(0, "slot"), event.int(1, "members")
+	if event.err == nil && (slot < 0 || slot > 15 || event.Values[0] == simwire.Absent) {
+		event.err = event.FieldError("slot", event.Values[0])
 	}
-	if f.err == nil && count < 0 {
-		f.err = f.FieldError("members", f.Values[1])
+	if event.err == nil && count < 0 {
+		event.err = event.FieldError("members", event.Values[1])
 	}
-	if f.err != nil {
-		return f.err
+	if event.err != nil {
+		return event.err
 	}
 	var list []directory.Endpoint
 	for range count {
@@ -218,21 +222,21 @@
 	return nil
 }
 
-// updateList applies a stored list, or a failed list request, to an instance's directory.
-func (h *host) updateList(f *fieldReader, inst *instance) error {
-	how := f.text(0, "how")
+// updateList applies a stored list to an instance's directory, or records that a request for the list failed.
+func (h *host) updateList(event *fieldReader, inst *instance) error {
+	how := event.text(0, "how")
 	if how == "broken" {
 		inst.dir.RecordFailure()
-		return f.err
+		return event.err
 	}
-	slot := f.int(1, "slot")
-	f.int(2, "generation")
+	slot := event.int(1, "slot")
+	event.int(2, "generation")
 	list, ok := h.lists[slot]
-	if f.err == nil && (!ok || f.Values[1] == simwire.Absent) {
-		f.err = f.FieldError("slot", f.Values[1])
+	if event.err == nil && (!ok || event.Values[1] == simwire.Absent) {
+		event.err = event.FieldError("slot", event.Values[1])
 	}
-	if f.err != nil {
-		return f.err
+	if event.err != nil {
+		return event.err
 	}
 	switch how {
 	case "patch":
@@ -240,7 +244,7 @@
 	case "whole", "stale_copy":
 		inst.dir.Replace(list)
 	default:
-		return f.FieldError("how", how)
+		return event.FieldError("how", how)
 	}
 	return nil
 }
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -12,30 +12,32 @@
 	"orchiddrift/simwire"
 )
 
-// host reads batches of events, passes them to the instances' schedulers and writes the decisions as actions.
+// host reads batches of events, passes the events to the instances' schedulers and writes the decisions as actions.
 type host struct {
-	in             *simwire.Reader
-	out            *bufio.Writer
-	now            float64 // time of the batch, in seconds
-	lists          map[int64][]directory.Endpoint
-	instances      map[int64]*instance
-	eventInstance  int64 // the instance that the next events are for
-	actionInstance int64 // the instance whose actions are being written
-	touched        []int64
+	in               *simwire.Reader
+	out              *bufio.Writer
+	now              float64                        // time of the batch, in seconds
+	lists            map[int64][]directory.Endpoint // by slot
+	instances        map[int64]*instance            // running instances by ID
+	eventInstance    int64                          // ID of the instance that the next events are for
+	actionInstance   int64                          // ID of the instance whose actions are being written
+	touchedInstances []int64                        // IDs of the instances that had an event in the batch
 }
 
 // instance is one dispatcher: its scheduler, its list of endpoints and the state of its notifications.
 type instance struct {
 	scheduler     *decide.Scheduler
 	dir           *directory.Directory
-	notifications map[string]decide.Notification
-	pushesOut     map[string]int // by notification: pushes without an outcome
-	answered      map[string]bool
-	timerAt       float64 // when the timer set last fires, in seconds
+	notifications map[string]decide.Notification // by ID
+	pushesOut     map[string]int                 // by notification ID: number of pushes without an outcome
+	answered      map[string]bool                // by notification ID: has its final answer
+	timerAt       float64                        // time at which the timer that was set last fires, in seconds
 }
 
+// noInstance is the instance ID before the first TO event or the first action of a batch.
 const noInstance = -1
 
+// run handles batches until the input ends. It returns an error if the input is invalid or a reply cannot be written.
 func (h *host) run() error {
 	for {
 		line, err := h.in.Next()
@@ -60,7 +62,7 @@
 			return err
 		}
 		h.now = nowMS / 1000
-		h.eventInstance, h.actionInstance, h.touched = noInstance, noInstance, h.touched[:0]
+		h.eventInstance, h.actionInstance, h.touchedInstances = noInstance, noInstance, h.touchedInstances[:0]
 		if err := h.handleBatch(); err != nil {
 			return err
 		}
@@ -71,7 +73,8 @@
 	}
 }
 
-// handleBatch handles the events of a batch in order, then places what is due at each instance that had an event.
+// handleBatch handles the events of a batch in order, then places the notifications that are due at each instance that had an
+// event.
 func (h *host) handleBatch() error {
 	for {
 		line, err := h.in.Next()
@@ -88,7 +91,7 @@
 			return err
 		}
 	}
-	for _, instanceID := range h.touched {
+	for _, instanceID := range h.touchedInstances {
 		if inst := h.instances[instanceID]; inst != nil {
 			h.reportPanics(instanceID, func() { h.placeDue(instanceID, inst) })
 		}
@@ -96,7 +99,7 @@
 	return nil
 }
 
-// reportPanics runs decisions for an instance and writes a CRASH action if they panic.
+// reportPanics calls decisions, which decides for an instance, and writes a CRASH action if it panics.
 func (h *host) reportPanics(instanceID int64, decisions func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -106,7 +109,7 @@
 	decisions()
 }
 
-// placeDue places notifications as long as one is due, then sets a timer for the next unless an earlier one is set.
+// placeDue places notifications as long as one is due, then sets a timer for the next one unless an earlier timer is set.
 func (h *host) placeDue(instanceID int64, inst *instance) {
 	for {
 		wait, id := inst.scheduler.NextTurn(h.now)
@@ -124,7 +127,7 @@
 	}
 }
 
-// writeDecision writes a decision of the scheduler as an action.
+// writeDecision writes a decision of the scheduler as an action. A final answer is delivered to the client with the action.
 func (h *host) writeDecision(instanceID int64, inst *instance, decision decide.Decision) {
 	switch decision.Action {
 	case decide.Push:
@@ -151,13 +154,13 @@
 	}
 }
 
-// confirmAnswer reports to the scheduler that the client has the final answer: it is delivered with the reply.
+// confirmAnswer reports to the scheduler that the client has the final answer, which is delivered with the reply.
 func (inst *instance) confirmAnswer(now float64, id string) {
 	inst.scheduler.HandleOutcome(now, decide.Outcome{NotificationID: id, Result: decide.Withdrawn, Final: true})
 	inst.markAnswered(id)
 }
 
-// markAnswered records that a notification has its final answer, and forgets the notification once no push is out.
+// markAnswered records that a notification has its final answer, and deletes the notification if no push of it is out.
 func (inst *instance) markAnswered(id string) {
 	inst.answered[id] = true
 	if inst.pushesOut[id] == 0 {
@@ -167,6 +170,7 @@
 	}
 }
 
+// writeAction writes an action. A BY line precedes it if the last action was of another instance.
 func (h *host) writeAction(instanceID int64, format string, values ...any) {
 	if h.actionInstance != instanceID {
 		h.actionInstance = instanceID
--- a/cmd/simhost/host_test.go
+++ b/cmd/simhost/host_test.go
@@ -10,15 +10,16 @@
 	"orchiddrift/simwire"
 )
 
-const bootLine = "NEW_INSTANCE 5 azs=dc balancers=2 classes.count=1 classes.0.name=reading classes.0.repeat=free " +
+// newInstanceLine starts an instance with valid settings and one that is not known.
+const newInstanceLine = "NEW_INSTANCE 5 azs=dc balancers=2 classes.count=1 classes.0.name=reading classes.0.repeat=free " +
 	"classes.0.group=all classes.0.promise-ms=2000.0 classes.0.deadline-ms=9000.0 classes.0.importance=1.0 " +
 	"classes.0.late-worth=0.4 family-info.batch-by-kind=1 family-info.max-calls=4 kinds=plain " +
 	"guarantees.cold-from=0.2 guarantees.cold-ms=9000.0 guarantees.fall-ms=1500.0 guarantees.overload-factor=2.0 " +
 	"membership-mode=push policy-limits.max-attempts=8 policy-limits.most-held=50 tick-ms=5.0 weight-kind=nominal " +
 	"some.new-key=7"
 
-// play runs the host on the input lines and prints its replies and error.
-func play(lines ...string) {
+// runHost runs a host on the input lines and prints its replies and its error.
+func runHost(lines ...string) {
 	out := bufio.NewWriter(os.Stdout)
 	h := &host{in: simwire.NewReader(strings.NewReader(strings.Join(lines, "\n"))), out: out,
 		lists: map[int64][]directory.Endpoint{}, instances: map[int64]*instance{}}
@@ -29,17 +30,17 @@
 	}
 }
 
-// An instance starts, gets lists that reuse one slot, pushes a notification and closes the connection once it is idle.
-// A withdrawal after the final answer is ignored. A notification for a destination without endpoints is throttled.
+// An instance starts, applies lists that are defined in the same slot, pushes a notification and closes the connection once it
+// is idle. A withdrawal after the final answer has no effect. A notification for a destination without endpoints is throttled.
 func Example_lifecycle() {
-	play("ROUND 100.0 1", "EOB",
-		"ROUND 105.0 2", "TO 3", bootLine, "DEFINE_LIST 0 1", "M e1 dc plain 9 ready 10.0 -", "UPDATE stale_copy 0 1",
+	runHost("ROUND 100.0 1", "EOB",
+		"ROUND 105.0 2", "TO 3", newInstanceLine, "DEFINE_LIST 0 1", "M e1 dc plain 9 ready 10.0 -", "UPDATE stale_copy 0 1",
 		"DEFINE_LIST 0 1", "M e1 dc plain 9 draining 10.0 -", "UPDATE patch 0 2",
 		"DEFINE_LIST 0 1", "M e2 dc plain 9 ready 10.0 -", "UPDATE patch 0 3",
 		"REQ n1 reading - - 9000.0 - 9 1", "UPDATE broken - -", "EOB",
 		"ROUND 300.0 3", "TO 3", "RESPONSE n1 1 1 - e2 0 180.5 x0:0.4,x1:1.25", "CLIENT_GONE n1", "ELAPSED wake", "EOB",
 		"ROUND 5300.0 4", "TO 3", "ELAPSED wake", "EOB",
-		"ROUND 5305.0 5", "TO 3", "REQ n2 reading - - 9000.0 - 8 1", "DOWN", bootLine, "EOB")
+		"ROUND 5305.0 5", "TO 3", "REQ n2 reading - - 9000.0 - 8 1", "DOWN", newInstanceLine, "EOB")
 	// Output:
 	// END 1
 	// BY 3
@@ -56,19 +57,19 @@
 	// END 5
 }
 
-// Each kind of invalid input ends the host with a one-line error.
-func Example_badInput() {
-	play("EVENT 1")
-	play("ROUND x 1")
-	play("ROUND 1 1", "TO 1", "REQ n1", "EOB")
-	play("ROUND 1 1", "TO 1", "CLIENT_GONE n1", "EOB")
-	play("ROUND 1 1", "WHAT 1", "EOB")
-	play("ROUND 1 1", "TO 1", bootLine, "UPDATE whole 4 1", "EOB")
-	play("ROUND 1 1", "TO 1", bootLine, "REQ n1 letter - - 9000.0 - 9 1", "EOB")
-	play("ROUND 1 1", "TO 1", bootLine, "RESPONSE n1 1 9 - e1 0 1.0 -", "EOB")
-	play("ROUND 1 1", "TO 1", strings.Replace(bootLine, "tick-ms=5.0", "tick-ms=soon", 1), "EOB")
-	play("ROUND 1 1", "TO 1", strings.Replace(bootLine, "tick-ms=5.0 ", "", 1), "EOB")
-	play("ROUND 1 1", "TO 1")
+// Each kind of invalid input makes the host stop with a one-line error.
+func Example_invalidInput() {
+	runHost("EVENT 1")
+	runHost("ROUND x 1")
+	runHost("ROUND 1 1", "TO 1", "REQ n1", "EOB")
+	runHost("ROUND 1 1", "TO 1", "CLIENT_GONE n1", "EOB")
+	runHost("ROUND 1 1", "WHAT 1", "EOB")
+	runHost("ROUND 1 1", "TO 1", newInstanceLine, "UPDATE whole 4 1", "EOB")
+	runHost("ROUND 1 1", "TO 1", newInstanceLine, "REQ n1 letter - - 9000.0 - 9 1", "EOB")
+	runHost("ROUND 1 1", "TO 1", newInstanceLine, "RESPONSE n1 1 9 - e1 0 1.0 -", "EOB")
+	runHost("ROUND 1 1", "TO 1", strings.Replace(newInstanceLine, "tick-ms=5.0", "tick-ms=soon", 1), "EOB")
+	runHost("ROUND 1 1", "TO 1", strings.Replace(newInstanceLine, "tick-ms=5.0 ", "", 1), "EOB")
+	runHost("ROUND 1 1", "TO 1")
 	// Output:
 	// line 1: got EVENT, want ROUND
 	// line 1: ROUND: field at-time-ms cannot be "x"
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost runs many schedulers in one process for a simulator, which it talks to over stdin and stdout.
+// Command simhost runs the schedulers of many dispatchers in one process for a simulator. It reads events from stdin and writes
+// actions to stdout, in batches.
 package main
 
 import (
