--- a/cmd/orchiddrift/commands_test.go
+++ b/cmd/orchiddrift/commands_test.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// runProgram runs the program in a folder, the current one if dir is empty, and returns its exit code and output.
+// runProgram runs the program in dir, or in the current folder if dir is empty, and returns its exit code and output.
 func runProgram(dir string, args ...string) (int, string) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Dir = dir
@@ -17,8 +17,8 @@
 	return cmd.ProcessState.ExitCode(), string(out)
 }
 
-// printCommand runs the program and prints its exit code, the lines of output that contain filter, and the files that it
-// left.
+// printCommand runs the program in a new folder and prints the arguments, the exit code, the lines of output that contain
+// filter, and the files that are in the folder afterwards.
 func printCommand(filter string, args ...string) {
 	dir, _ := os.MkdirTemp("", "orchiddrift")
 	defer os.RemoveAll(dir)
--- a/cmd/orchiddrift/config.go
+++ b/cmd/orchiddrift/config.go
@@ -14,11 +14,11 @@
 	"orchiddrift/appconfig"
 )
 
-// newConfigCommand returns the command that checks applications' configuration files and converts them.
+// newConfigCommand returns the command that checks, converts and migrates applications' configuration files.
 func newConfigCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Check and convert applications' configurations"}
+	command := &cobra.Command{Use: "config", Short: "Check and convert applications' configurations"}
 	var asJSON bool
-	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print findings as JSON")
+	command.PersistentFlags().BoolVar(&asJSON, "json", false, "print findings as JSON")
 	printFindings := func(to io.Writer, findings []appconfig.Finding) error {
 		if asJSON {
 			if findings == nil {
@@ -46,7 +46,7 @@
 		}
 		return printFindings(cmd.OutOrStdout(), findings)
 	}
-	c.AddCommand(
+	command.AddCommand(
 		&cobra.Command{Use: "check FILE...", Short: "Check files, each and together; exit 1 if there are findings", Args: cobra.MinimumNArgs(1), RunE: check},
 		&cobra.Command{Use: "fleet FOLDER", Short: "Check all files of a folder together", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
@@ -94,25 +94,26 @@
 				return asFailure(table.Flush())
 			}},
 	)
-	return c
+	return command
 }
 
-// newMigrateCommand returns the command that migrates a file of the old layout to the new one.
+// newMigrateCommand returns the command that migrates a file of the old layout to the new one. It prints the notes of the
+// migration and the findings of the new file, and writes the new file even if there are findings.
 func newMigrateCommand(printFindings func(io.Writer, []appconfig.Finding) error) *cobra.Command {
 	var output string
 	var dryRun, force bool
-	c := &cobra.Command{Use: "migrate OLD -o NEW", Short: "Migrate a file to separate routes and a list without rates", Args: cobra.ExactArgs(1)}
-	c.RunE = func(cmd *cobra.Command, args []string) error {
+	command := &cobra.Command{Use: "migrate OLD -o NEW", Short: "Migrate a file to separate routes and a list without rates", Args: cobra.ExactArgs(1)}
+	command.RunE = func(cmd *cobra.Command, args []string) error {
 		if output == "" {
 			return errors.New("-o is not given: name the file to write")
 		}
 		apps, findings := readAndCheck(args)
 		if len(findings) > 0 {
-			more := ""
+			moreFindings := ""
 			if n := len(findings) - 1; n > 0 {
-				more = fmt.Sprintf(" (and %d more: see config check)", n)
+				moreFindings = fmt.Sprintf(" (and %d more: see config check)", n)
 			}
-			return asFailure(fmt.Errorf("%s%s", findings[0], more))
+			return asFailure(fmt.Errorf("%s%s", findings[0], moreFindings))
 		}
 		old := apps[0]
 		if old.UsesNewLayout() {
@@ -136,14 +137,14 @@
 		}
 		return printFindings(cmd.OutOrStdout(), findings)
 	}
-	c.Flags().StringVarP(&output, "output", "o", "", "the file to write")
-	c.Flags().BoolVar(&dryRun, "dry-run", false, "print the notes and write nothing")
-	c.Flags().BoolVar(&force, "force", false, "overwrite an existing file")
-	return c
+	command.Flags().StringVarP(&output, "output", "o", "", "the file to write")
+	command.Flags().BoolVar(&dryRun, "dry-run", false, "print the notes and write nothing")
+	command.Flags().BoolVar(&force, "force", false, "overwrite an existing file")
+	return command
 }
 
-// writeFileAtomically writes the whole target file or nothing. It never overwrites source, and another existing file only
-// with force.
+// writeFileAtomically writes all of text to target, with the permissions of source, or leaves target as it is. It never
+// overwrites source. It overwrites another existing file only if force is set.
 func writeFileAtomically(source, target string, text []byte, force bool) error {
 	sourceInfo, err := os.Stat(source)
 	if err != nil {
@@ -176,7 +177,7 @@
 	return os.Link(f.Name(), target) // fails if the file was created in the meantime
 }
 
-// readAndCheck reads files and checks each on its own.
+// readAndCheck reads files and checks each on its own. It returns the files that can be read and all findings.
 func readAndCheck(files []string) ([]*appconfig.App, []appconfig.Finding) {
 	var apps []*appconfig.App
 	var findings []appconfig.Finding
--- a/cmd/orchiddrift/lab.go
+++ b/cmd/orchiddrift/lab.go
@@ -23,32 +23,34 @@
 
 // newLabCommand returns the command of the laboratory.
 func newLabCommand() *cobra.Command {
-	c := &cobra.Command{Use: "lab", Short: "Run scenarios against real dispatchers on loopback, and check the rules",
+	command := &cobra.Command{Use: "lab", Short: "Run scenarios against real dispatchers on loopback, and check the rules",
 		Long: `Run scenarios against real dispatchers on loopback, and check the six rules.
 
 Partners, the platform's agent and clients are simulated. Exit codes: 0 all rules kept, 1 the run failed or was
 interrupted, 2 usage, 3 a rule was violated.`}
-	c.AddCommand(newLabRunCommand(), newLabListCommand(), newLabShowCommand(), newLabReportCommand(), newLabSoakCommand(), newSoakChildCommand(), newPlantedCommand())
-	return c
+	command.AddCommand(newLabRunCommand(), newLabListCommand(), newLabShowCommand(), newLabReportCommand(), newLabSoakCommand(),
+		newSoakChildCommand(), newPlantedCommand())
+	return command
 }
 
-// labRunFlags holds the flags of "lab run".
+// labRunFlags holds the flags of "lab run". An empty path or a seed, length, rate or number of connections of 0 means that
+// the flag is not given.
 type labRunFlags struct {
-	seed         uint64
-	repeat       int
-	html, json   string
-	keep, state  string
-	plantedRule  string
-	straight     bool
-	quiet        bool
-	length, rate float64
-	closed       int
-	profile      bool
+	seed                  uint64
+	repeat                int // number of runs of each scenario
+	htmlPath, jsonPath    string
+	keepDir, stateDir     string
+	plantedRule           string // rule that the dispatcher violates on purpose, or "none" for a real dispatcher
+	direct                bool   // submit to the partners without a dispatcher
+	quiet                 bool
+	lengthSeconds, rate   float64 // rate is in notifications per second
+	closedLoopConnections int
+	profile               bool
 }
 
 func newLabRunCommand() *cobra.Command {
 	f := &labRunFlags{}
-	c := &cobra.Command{Use: "run [SCENARIO...]", Short: "Run scenarios: shipped ones by name, or files; \"all\" for all shipped",
+	command := &cobra.Command{Use: "run [SCENARIO...]", Short: "Run scenarios: shipped ones by name, or files; \"all\" for all shipped",
 		ValidArgs: scenario.Shipped(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			switch {
@@ -59,29 +61,29 @@
 			}
 			return f.run(cmd, args)
 		}}
-	flags := c.Flags()
+	flags := command.Flags()
 	flags.Uint64Var(&f.seed, "seed", 0, "seed in place of the scenario's")
 	flags.IntVar(&f.repeat, "repeat", 1, "number of runs, each with the next seed")
-	flags.Float64Var(&f.length, "length", 0, "length in seconds in place of the scenario's")
+	flags.Float64Var(&f.lengthSeconds, "length", 0, "length in seconds in place of the scenario's")
 	flags.Float64Var(&f.rate, "rate", 0, "load in notifications per second in place of the scenario's")
-	flags.IntVar(&f.closed, "closed", 0, "number of connections of a closed loop that replaces the planned arrivals")
-	flags.StringVar(&f.html, "html", "report.html", "file for the report of the last run; \"\" for none")
-	flags.StringVar(&f.json, "json", "", "file for the figures as JSON")
-	flags.StringVar(&f.keep, "keep", "", "folder in which to keep configurations, logs and the journal of observations")
-	flags.StringVar(&f.state, "state", "", "folder in which to create the dispatchers' state folders")
-	flags.BoolVar(&f.straight, "straight", false, "submit directly to the partners, to measure without a dispatcher")
+	flags.IntVar(&f.closedLoopConnections, "closed", 0, "number of connections of a closed loop that replaces the planned arrivals")
+	flags.StringVar(&f.htmlPath, "html", "report.html", "file for the report of the last run; \"\" for none")
+	flags.StringVar(&f.jsonPath, "json", "", "file for the figures as JSON")
+	flags.StringVar(&f.keepDir, "keep", "", "folder in which to keep configurations, logs and the journal of observations")
+	flags.StringVar(&f.stateDir, "state", "", "folder in which to create the dispatchers' state folders")
+	flags.BoolVar(&f.direct, "straight", false, "submit directly to the partners, to measure without a dispatcher")
 	flags.StringVar(&f.plantedRule, "planted", "none", "replace the dispatcher by one that violates this rule on purpose; \"\" for one that violates none")
 	flags.BoolVar(&f.profile, "profile", false, "with --keep: write a CPU profile of each dispatcher beside its log")
 	flags.BoolVarP(&f.quiet, "quiet", "q", false, "print no progress")
-	return c
+	return command
 }
 
-// run runs the scenarios one after another. It writes the results after each, so that an early end keeps them.
+// run runs the scenarios one after another. It writes the results after each run, so that they are kept if a later run fails.
 func (f *labRunFlags) run(cmd *cobra.Command, names []string) error {
 	if f.repeat < 1 || f.repeat > 100 {
 		return fmt.Errorf("--repeat cannot be %d: give 1 to 100", f.repeat)
 	}
-	var scenarios []*scenario.Scenario // all are read before the first run, so that an invalid one is reported at once
+	var scenarios []*scenario.Scenario // all are read first, so that an invalid one is reported before any run
 	for _, name := range names {
 		for i := range f.repeat {
 			s, err := f.openScenario(name, uint64(i))
@@ -91,7 +93,7 @@
 			scenarios = append(scenarios, s)
 		}
 	}
-	if f.profile && (f.keep == "" || f.plantedRule != "none") {
+	if f.profile && (f.keepDir == "" || f.plantedRule != "none") {
 		return errors.New("--profile needs --keep, and a real dispatcher")
 	}
 	executable, err := os.Executable()
@@ -106,11 +108,11 @@
 	defer stop()
 	var results report.File
 	for _, s := range scenarios {
-		folder := f.keep
-		if folder != "" && len(scenarios) > 1 {
-			folder = filepath.Join(folder, fmt.Sprintf("%s-%d", s.Name, s.Seed))
+		keepDir := f.keepDir
+		if keepDir != "" && len(scenarios) > 1 {
+			keepDir = filepath.Join(keepDir, fmt.Sprintf("%s-%d", s.Name, s.Seed))
 		}
-		result, _, err := lab.Run(ctx, s, lab.Options{Command: command, Direct: f.straight, StateDir: f.state, KeepDir: folder,
+		result, _, err := lab.Run(ctx, s, lab.Options{Command: command, Direct: f.direct, StateDir: f.stateDir, KeepDir: keepDir,
 			Progress: f.progress(cmd.ErrOrStderr(), s)})
 		if err != nil {
 			return asFailure(err)
@@ -128,7 +130,7 @@
 	return verdict(results)
 }
 
-// openScenario reads a scenario and applies the changes of the flags.
+// openScenario reads a scenario and applies the flags that override its values. seedOffset is added to its seed.
 func (f *labRunFlags) openScenario(name string, seedOffset uint64) (*scenario.Scenario, error) {
 	s, err := scenario.Open(name)
 	if err != nil {
@@ -138,10 +140,11 @@
 		s.Seed = f.seed
 	}
 	s.Seed += seedOffset
-	return s, s.Override(f.length, f.rate, f.closed)
+	return s, s.Override(f.lengthSeconds, f.rate, f.closedLoopConnections)
 }
 
-// progress returns a function that prints a line for each progress report, or nil with --quiet.
+// progress prints the scenario's title and returns a function that prints each progress report. With --quiet it prints
+// nothing and returns nil.
 func (f *labRunFlags) progress(output io.Writer, s *scenario.Scenario) func(lab.Progress) {
 	if f.quiet {
 		return nil
@@ -156,39 +159,40 @@
 	}
 }
 
-// writeFiles writes the files that the flags ask for.
+// writeFiles writes all results to the JSON file and the last result to the HTML file, if the flags name these files.
 func (f *labRunFlags) writeFiles(output io.Writer, results report.File, result *report.Result) error {
-	if f.json != "" {
-		if err := results.Write(f.json); err != nil {
+	if f.jsonPath != "" {
+		if err := results.Write(f.jsonPath); err != nil {
 			return err
 		}
 	}
-	if f.html == "" {
+	if f.htmlPath == "" {
 		return nil
 	}
-	out, err := os.Create(f.html)
+	out, err := os.Create(f.htmlPath)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(output, "report:", f.html)
+	fmt.Fprintln(output, "report:", f.htmlPath)
 	return errors.Join(result.WriteHTML(out), out.Close())
 }
 
-// verdict returns an error if a rule was violated in any run, the last run was interrupted or a run is void.
+// verdict returns an error, with its exit code, if a rule was violated in any run, the last run was interrupted or a run is
+// void.
 func verdict(results report.File) error {
 	violations := 0
 	for _, r := range results.Runs {
 		violations += len(r.Violations)
 	}
 	last := results.Runs[len(results.Runs)-1]
-	void := slices.IndexFunc(results.Runs, func(r *report.Result) bool { return r.VoidReason != "" })
+	voidRun := slices.IndexFunc(results.Runs, func(r *report.Result) bool { return r.VoidReason != "" })
 	switch {
 	case violations > 0:
-		return exitError{ruleBroken, fmt.Errorf("%d rule violations: see the evidence in the table", violations)}
+		return exitError{exitRuleViolated, fmt.Errorf("%d rule violations: see the evidence in the table", violations)}
 	case last.Interrupted:
-		return exitError{failure, errors.New("interrupted: the results cover only the part that was run")}
-	case void >= 0:
-		return exitError{failure, fmt.Errorf("void: %s: %s", results.Runs[void].Scenario, results.Runs[void].VoidReason)}
+		return exitError{exitFailure, errors.New("interrupted: the results cover only the part that was run")}
+	case voidRun >= 0:
+		return exitError{exitFailure, fmt.Errorf("void: %s: %s", results.Runs[voidRun].Scenario, results.Runs[voidRun].VoidReason)}
 	}
 	return nil
 }
@@ -225,8 +229,8 @@
 }
 
 func newLabReportCommand() *cobra.Command {
-	var html string
-	c := &cobra.Command{Use: "report A.json [B.json]", Short: "Show the figures of runs, or two sets of runs side by side",
+	var htmlPath string
+	command := &cobra.Command{Use: "report A.json [B.json]", Short: "Show the figures of runs, or two sets of runs side by side",
 		Args: cobra.RangeArgs(1, 2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := report.Read(args[0])
@@ -244,17 +248,17 @@
 			for _, r := range a.Runs {
 				r.WriteTable(cmd.OutOrStdout())
 			}
-			if html == "" {
+			if htmlPath == "" {
 				return nil
 			}
-			out, err := os.Create(html)
+			out, err := os.Create(htmlPath)
 			if err != nil {
 				return asFailure(err)
 			}
 			return asFailure(errors.Join(a.Runs[len(a.Runs)-1].WriteHTML(out), out.Close()))
 		}}
-	c.Flags().StringVar(&html, "html", "", "write the last run's report here")
-	return c
+	command.Flags().StringVar(&htmlPath, "html", "", "write the last run's report here")
+	return command
 }
 
 // newPlantedCommand returns the command that "lab run --planted" starts in place of a dispatcher.
--- a/cmd/orchiddrift/ledger.go
+++ b/cmd/orchiddrift/ledger.go
@@ -15,11 +15,11 @@
 
 // newLedgerCommand returns the command that inspects and compacts a dispatcher's ledger.
 func newLedgerCommand() *cobra.Command {
-	c := &cobra.Command{Use: "ledger", Short: "Inspect a dispatcher's ledger, or compact it"}
+	command := &cobra.Command{Use: "ledger", Short: "Inspect a dispatcher's ledger, or compact it"}
 	var asJSON bool
 	var diskMB float64
-	c.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
-	c.PersistentFlags().Float64Var(&diskMB, "disk-mb", 3, "size limit of the folder in MB, as in the dispatcher's configuration")
+	command.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
+	command.PersistentFlags().Float64Var(&diskMB, "disk-mb", 3, "size limit of the folder in MB, as in the dispatcher's configuration")
 	show := func(output io.Writer, report ledger.Report, pending []ledger.Pending) error {
 		if asJSON {
 			return showJSON(output, report, pending)
@@ -49,7 +49,7 @@
 			return asFailure(err)
 		}
 	}
-	c.AddCommand(
+	command.AddCommand(
 		&cobra.Command{Use: "inspect FOLDER", Short: "Print what is owed; the dispatcher may be running", Args: cobra.ExactArgs(1), RunE: inspect(false)},
 		&cobra.Command{Use: "verify FOLDER", Short: "Read every record; exit 1 if one is damaged", Args: cobra.ExactArgs(1), RunE: inspect(true)},
 		&cobra.Command{Use: "compact FOLDER", Short: "Free the space of finished notifications; the dispatcher must not be running",
@@ -73,10 +73,10 @@
 				return asFailure(err)
 			}},
 	)
-	return c
+	return command
 }
 
-// pendingEntry is the ledger's state of a notification. The numbers of its calls are those in the dispatcher's log.
+// pendingEntry is what is printed about a pending notification. Call numbers are the same as in the dispatcher's log.
 type pendingEntry struct {
 	ID         string     `json:"id"`
 	Topic      string     `json:"topic"`
@@ -84,25 +84,26 @@
 	Pushes     int        `json:"pushes"`
 	State      string     `json:"state"`
 	MayHaveRun bool       `json:"may_have_run"`
-	Ran        *callEntry `json:"ran,omitempty"`  // the first call that may have run
-	Last       *callEntry `json:"last,omitempty"` // the last call, if its records still exist
-	Notice     string     `json:"notice,omitempty"`
-	Until      float64    `json:"until"`
+	Ran        *callEntry `json:"ran,omitempty"`    // the first call that may have run
+	Last       *callEntry `json:"last,omitempty"`   // the last call, if its records still exist
+	Notice     string     `json:"notice,omitempty"` // outcome in the notice that has not been answered yet
+	Until      float64    `json:"until"`            // end of its TTL, in seconds of the dispatcher's clock
 }
 
-// callEntry is a call. Times are in seconds of the dispatcher's clock.
+// callEntry is a call that carried a push of a notification.
 type callEntry struct {
-	Call uint64  `json:"call"`
-	At   float64 `json:"at"`
-	To   string  `json:"to"`
+	Call uint64  `json:"call"` // number of the call
+	At   float64 `json:"at"`   // start in seconds of the dispatcher's clock
+	To   string  `json:"to"`   // endpoint
 	Zone string  `json:"zone,omitempty"`
-	End  string  `json:"end,omitempty"`
+	End  string  `json:"end,omitempty"` // how the call ended
 }
 
-// newPendingEntry returns the entry of a notification.
+// newPendingEntry returns the entry for a pending notification.
 func newPendingEntry(pending ledger.Pending) pendingEntry {
 	message := pending.Message
-	entry := pendingEntry{ID: message.ID, Topic: message.Topic, Dest: message.Dest, Pushes: message.Pushes, State: pending.State().String(), MayHaveRun: message.RanAt > 0, Until: message.ExpiresAt}
+	entry := pendingEntry{ID: message.ID, Topic: message.Topic, Dest: message.Dest, Pushes: message.Pushes,
+		State: pending.State().String(), MayHaveRun: message.RanAt > 0, Until: message.ExpiresAt}
 	if message.RanAt > 0 {
 		entry.Ran = &callEntry{Call: message.RanCall, At: message.RanAt, To: message.RanTo, Zone: message.RanZone}
 	}
--- a/cmd/orchiddrift/main.go
+++ b/cmd/orchiddrift/main.go
@@ -16,12 +16,12 @@
 
 // Exit codes.
 const (
-	failure    = 1 // the command failed
-	usageError = 2 // invalid arguments
-	ruleBroken = 3 // the laboratory found a rule violation
+	exitFailure      = 1 // the command failed
+	exitUsage        = 2 // invalid arguments
+	exitRuleViolated = 3 // the laboratory found a rule violation
 )
 
-// exitError is an error with its exit code.
+// exitError is an error with the exit code that it causes.
 type exitError struct {
 	code int
 	error
@@ -39,20 +39,22 @@
 	if err == nil {
 		return 0
 	}
-	exitErr := exitError{code: usageError}
+	exitErr := exitError{code: exitUsage}
 	errors.As(err, &exitErr)
 	fmt.Fprintln(os.Stderr, "orchiddrift:", err)
 	return exitErr.code
 }
 
-// asFailure gives an error the exit code failure. Errors without an exit code count as usage errors.
+// asFailure gives an error the exit code exitFailure, and returns nil for nil. Errors without an exit code count as usage
+// errors.
 func asFailure(err error) error {
 	if err == nil {
 		return nil
 	}
-	return exitError{failure, err}
+	return exitError{exitFailure, err}
 }
 
+// newRootCommand returns the program's command with all subcommands.
 func newRootCommand() *cobra.Command {
 	var level, format, profile string
 	run := func(cmd *cobra.Command, _ []string) error {
@@ -91,7 +93,7 @@
 	return root
 }
 
-// withCPUProfile runs f and, unless path is empty, writes a CPU profile of it to path.
+// withCPUProfile runs f and returns its error. Unless path is empty, it writes a CPU profile of f to path.
 func withCPUProfile(path string, f func() error) error {
 	if path == "" {
 		return f()
--- a/cmd/orchiddrift/main_test.go
+++ b/cmd/orchiddrift/main_test.go
@@ -21,7 +21,7 @@
 	switch os.Getenv("ORCHIDDRIFT_TEST") {
 	case "run":
 		main()
-	case "args": // arguments on the command line come from the program itself, which starts a dispatcher
+	case "args": // if there are arguments, the program under test has started itself as a dispatcher
 		args := os.Args[1:]
 		if len(args) == 0 {
 			args = strings.Split(os.Getenv("ORCHIDDRIFT_ARGS"), "\n")
@@ -41,24 +41,24 @@
 
 // environment is an agent that receives notices, one endpoint, and the process of a dispatcher between them.
 type environment struct {
-	dir, listen string
+	dir, listen string // folder with the configuration and the state; listen address
 	agent       *httptest.Server
-	events      chan string
+	events      chan string // pushes to the endpoint and notices to the agent
 	process     *exec.Cmd
 	log         strings.Builder
 }
 
-// newEnvironment starts the agent and the endpoint. A notification's body tells the endpoint to close the connection or to
-// wait before it answers.
+// newEnvironment starts the agent and the endpoint and writes the dispatcher's configuration. For a body of "hang up" the
+// endpoint closes the connection without an answer; for a body that is a duration it answers after that time.
 func newEnvironment() *environment {
-	w := &environment{events: make(chan string, 99)}
-	w.dir, _ = os.MkdirTemp("", "orchiddrift")
+	env := &environment{events: make(chan string, 99)}
+	env.dir, _ = os.MkdirTemp("", "orchiddrift")
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
-	w.listen = ln.Addr().String()
+	env.listen = ln.Addr().String()
 	ln.Close()
 	endpoint := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		w.events <- fmt.Sprint("pushed ", r.Header.Get("X-Call-Id"))
+		env.events <- fmt.Sprint("pushed ", r.Header.Get("X-Call-Id"))
 		if string(body) == "hang up" {
 			panic(http.ErrAbortHandler)
 		}
@@ -66,10 +66,10 @@
 			time.Sleep(wait)
 		}
 	}))
-	w.agent = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	env.agent = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/notices" {
 			body, _ := io.ReadAll(r.Body)
-			w.events <- strings.TrimSpace(string(body))
+			env.events <- strings.TrimSpace(string(body))
 			rw.WriteHeader(http.StatusNoContent)
 			return
 		}
@@ -80,23 +80,23 @@
 	text, _ := json.Marshal(map[string]any{"name": "n1", "seed": "8c1f30d27a5be964", "known": known,
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
 		"settings": json.RawMessage(settingsJSON)})
-	if err := os.WriteFile(filepath.Join(w.dir, "config.json"), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(env.dir, "config.json"), text, 0o600); err != nil {
 		panic(err)
 	}
-	return w
+	return env
 }
 
 // start runs the program and waits until it is ready.
-func (w *environment) start() {
-	w.process = exec.Command(os.Args[0])
-	w.process.Env = append(os.Environ(), "ORCHIDDRIFT_TEST=run", "ROUTER_CONFIG="+filepath.Join(w.dir, "config.json"),
-		"ROUTER_LISTEN="+w.listen, "ROUTER_STATE="+w.dir, "ROUTER_DISCOVERY="+strings.TrimPrefix(w.agent.URL, "http://"))
-	w.process.Stderr = &w.log
-	if err := w.process.Start(); err != nil {
+func (env *environment) start() {
+	env.process = exec.Command(os.Args[0])
+	env.process.Env = append(os.Environ(), "ORCHIDDRIFT_TEST=run", "ROUTER_CONFIG="+filepath.Join(env.dir, "config.json"),
+		"ROUTER_LISTEN="+env.listen, "ROUTER_STATE="+env.dir, "ROUTER_DISCOVERY="+strings.TrimPrefix(env.agent.URL, "http://"))
+	env.process.Stderr = &env.log
+	if err := env.process.Start(); err != nil {
 		panic(err)
 	}
 	for range 500 {
-		resp, err := http.Get("http://" + w.listen + "/_health")
+		resp, err := http.Get("http://" + env.listen + "/_health")
 		if err == nil {
 			resp.Body.Close()
 			fmt.Println("ready")
@@ -104,12 +104,12 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	fmt.Println("never ready:", w.log.String())
+	fmt.Println("never ready:", env.log.String())
 }
 
-// submit submits a notification with key "k" and prints the answer.
-func (w *environment) submit(id, topic, body string) {
-	req, _ := http.NewRequest("POST", "http://"+w.listen+"/api", strings.NewReader(body))
+// submit submits a notification with key "k" and prints the status and whether the answer closes the connection.
+func (env *environment) submit(id, topic, body string) {
+	req, _ := http.NewRequest("POST", "http://"+env.listen+"/api", strings.NewReader(body))
 	for name, value := range map[string]string{"X-Call-Id": id, "X-Call-Class": topic, "X-Caller": "acme",
 		"Cookie": "about=k", "X-Budget": "9000m", "X-Addressing": "dest=7"} {
 		req.Header.Set(name, value)
@@ -124,34 +124,35 @@
 }
 
 // printEvent prints the next event at the agent or the endpoint.
-func (w *environment) printEvent() {
+func (env *environment) printEvent() {
 	select {
-	case e := <-w.events:
+	case e := <-env.events:
 		fmt.Println(e)
 	case <-time.After(5 * time.Second):
-		fmt.Println("no event within 5 s:", w.log.String())
+		fmt.Println("no event within 5 s:", env.log.String())
 	}
 }
 
-func (w *environment) signalAndWait(signal os.Signal) {
-	_ = w.process.Process.Signal(signal)
-	fmt.Println(w.process.Wait())
+// signalAndWait sends a signal to the process, waits until it has exited and prints how it ended.
+func (env *environment) signalAndWait(signal os.Signal) {
+	_ = env.process.Process.Signal(signal)
+	fmt.Println(env.process.Wait())
 }
 
 // The process is killed while a push of a single_shot notification is out. After the restart the notification is given
 // up, and the next one of its key is pushed.
 func Example_crash() {
-	w := newEnvironment()
-	defer os.RemoveAll(w.dir)
-	w.start()
-	w.submit("a1", "order", "10s")
-	w.printEvent()
-	w.submit("a2", "order", "")
-	w.signalAndWait(syscall.SIGKILL)
-	w.start()
-	w.printEvent()
-	w.printEvent()
-	w.signalAndWait(syscall.SIGTERM)
+	env := newEnvironment()
+	defer os.RemoveAll(env.dir)
+	env.start()
+	env.submit("a1", "order", "10s")
+	env.printEvent()
+	env.submit("a2", "order", "")
+	env.signalAndWait(syscall.SIGKILL)
+	env.start()
+	env.printEvent()
+	env.printEvent()
+	env.signalAndWait(syscall.SIGTERM)
 	// Output:
 	// ready
 	// a1 202 false
@@ -164,22 +165,23 @@
 	// <nil>
 }
 
-// In a graceful stop clients are answered and their connections closed, pushes that are out may end, and the process exits.
+// During a graceful stop clients are answered and their connections closed, pushes that are out may end, and then the process
+// exits.
 func Example_gracefulStop() {
-	w := newEnvironment()
-	defer os.RemoveAll(w.dir)
-	w.start()
-	w.submit("a1", "order", "700ms")
-	w.printEvent()
-	_ = w.process.Process.Signal(syscall.SIGTERM)
+	env := newEnvironment()
+	defer os.RemoveAll(env.dir)
+	env.start()
+	env.submit("a1", "order", "700ms")
+	env.printEvent()
+	_ = env.process.Process.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
-	w.submit("a2", "reading", "")
-	w.printEvent()
-	fmt.Println(w.process.Wait())
-	w.submit("a3", "reading", "")
-	w.start()
-	w.signalAndWait(syscall.SIGTERM)
-	fmt.Println(strings.Count(w.log.String(), `"owed":0`), "starts with nothing pending")
+	env.submit("a2", "reading", "")
+	env.printEvent()
+	fmt.Println(env.process.Wait())
+	env.submit("a3", "reading", "")
+	env.start()
+	env.signalAndWait(syscall.SIGTERM)
+	fmt.Println(strings.Count(env.log.String(), `"owed":0`), "starts with nothing pending")
 	// Output:
 	// ready
 	// a1 202 false
@@ -195,19 +197,19 @@
 
 // An invalid configuration ends the program with a one-line error.
 func Example_invalidConfiguration() {
-	w := newEnvironment()
-	defer os.RemoveAll(w.dir)
-	path := filepath.Join(w.dir, "config.json")
-	good, _ := os.ReadFile(path)
+	env := newEnvironment()
+	defer os.RemoveAll(env.dir)
+	path := filepath.Join(env.dir, "config.json")
+	valid, _ := os.ReadFile(path)
 	for _, change := range [][2]string{{`"memory_mb":192`, `"memory_mb":0`}, {`"tick-ms":5`, `"tick-ms":"soon"`},
 		{`"settings"`, `"sittings"`}, {`"cell":7`, `"cell":`}, {`"limits"`, `"limits":3,"was"`}} {
-		text := strings.Replace(string(good), change[0], change[1], 1)
+		text := strings.Replace(string(valid), change[0], change[1], 1)
 		_ = os.WriteFile(path, []byte(text), 0o600)
 		p := exec.Command(os.Args[0])
-		p.Env = append(os.Environ(), "ORCHIDDRIFT_TEST=run", "ROUTER_CONFIG="+path, "ROUTER_LISTEN="+w.listen,
-			"ROUTER_STATE="+w.dir, "ROUTER_DISCOVERY=127.0.0.1:1")
+		p.Env = append(os.Environ(), "ORCHIDDRIFT_TEST=run", "ROUTER_CONFIG="+path, "ROUTER_LISTEN="+env.listen,
+			"ROUTER_STATE="+env.dir, "ROUTER_DISCOVERY=127.0.0.1:1")
 		out, err := p.CombinedOutput()
-		fmt.Print(strings.ReplaceAll(string(out), w.dir, "DIR"), err, "\n")
+		fmt.Print(strings.ReplaceAll(string(out), env.dir, "DIR"), err, "\n")
 	}
 	// Output:
 	// orchiddrift: DIR/config.json: limits cannot be {Cores:1 MemoryMB:0 Sockets:1024 DiskMB:3}
@@ -225,25 +227,25 @@
 // A SIGHUP applies the discovery address of the file, also if ROUTER_DISCOVERY is set. An invalid configuration changes
 // nothing.
 func Example_reload() {
-	w, other := newEnvironment(), newEnvironment()
-	defer os.RemoveAll(w.dir)
+	env, other := newEnvironment(), newEnvironment()
+	defer os.RemoveAll(env.dir)
 	defer os.RemoveAll(other.dir)
-	w.start()
-	path := filepath.Join(w.dir, "config.json")
-	good, _ := os.ReadFile(path)
-	for _, text := range []string{`{"discovery":`, strings.Replace(string(good), "{", fmt.Sprintf(`{"discovery":%q,`,
+	env.start()
+	path := filepath.Join(env.dir, "config.json")
+	valid, _ := os.ReadFile(path)
+	for _, text := range []string{`{"discovery":`, strings.Replace(string(valid), "{", fmt.Sprintf(`{"discovery":%q,`,
 		strings.TrimPrefix(other.agent.URL, "http://")), 1)} {
 		_ = os.WriteFile(path, []byte(text), 0o600)
-		_ = w.process.Process.Signal(syscall.SIGHUP)
+		_ = env.process.Process.Signal(syscall.SIGHUP)
 		time.Sleep(200 * time.Millisecond)
 	}
-	w.submit("a1", "reading", "")
-	w.printEvent()
-	w.agent.CloseClientConnections()
-	w.submit("a2", "order", "hang up")
+	env.submit("a1", "reading", "")
+	env.printEvent()
+	env.agent.CloseClientConnections()
+	env.submit("a2", "order", "hang up")
 	other.printEvent()
-	w.signalAndWait(syscall.SIGTERM)
-	fmt.Println(strings.Count(w.log.String(), "configuration not reloaded"), strings.Count(w.log.String(), `"moved":true`))
+	env.signalAndWait(syscall.SIGTERM)
+	fmt.Println(strings.Count(env.log.String(), "configuration not reloaded"), strings.Count(env.log.String(), `"moved":true`))
 	// Output:
 	// ready
 	// a1 202 false
--- a/cmd/orchiddrift/migrate_test.go
+++ b/cmd/orchiddrift/migrate_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// writeOldLayoutFile writes a file of the old layout that has a partner with two endpoints in two zones.
+// writeOldLayoutFile writes a file of the old layout with one partner, whose endpoints at the addresses first and second are
+// in different zones. It returns the file's path.
 func writeOldLayoutFile(t *testing.T, listen, agent, first, second string) string {
 	text := fmt.Sprintf(`name = "stock"
 listen = %q
@@ -49,37 +50,37 @@
 	return file
 }
 
-// A dry run prints the same as a real one and writes nothing. An existing file is overwritten only with --force, OLD never.
-// Invalid input writes nothing, prints one line and exits with 1; wrong usage exits with 2.
+// A dry run prints the same as a migration and writes nothing. An existing file is overwritten only with --force, and OLD
+// never. Invalid input exits with 1 and wrong usage with 2; both print one line and write nothing.
 func TestMigrateCommand(t *testing.T) {
 	old := writeOldLayoutFile(t, "127.0.0.1:8081", "127.0.0.1:8500", "127.0.0.1:9001", "127.0.0.1:9002")
 	original, _ := os.ReadFile(old)
-	next := filepath.Join(t.TempDir(), "new.toml")
-	code, output := runProgram("", "config", "migrate", old, "-o", next, "--dry-run")
-	if _, err := os.Stat(next); code != 0 || err == nil || !strings.Contains(output, "partners[0].rate: not carried over") {
-		t.Errorf("dry run: %d, %v, %s", code, err, output)
+	migrated := filepath.Join(t.TempDir(), "new.toml")
+	code, dryRunOutput := runProgram("", "config", "migrate", old, "-o", migrated, "--dry-run")
+	if _, err := os.Stat(migrated); code != 0 || err == nil || !strings.Contains(dryRunOutput, "partners[0].rate: not carried over") {
+		t.Errorf("dry run: %d, %v, %s", code, err, dryRunOutput)
 	}
-	if again, text := runProgram("", "config", "migrate", old, "-o", next); again != 0 || text != output {
-		t.Errorf("run: %d, output differs from the dry run: %s", again, text)
+	if code, text := runProgram("", "config", "migrate", old, "-o", migrated); code != 0 || text != dryRunOutput {
+		t.Errorf("run: %d, output differs from the dry run: %s", code, text)
 	}
-	if code, text := runProgram("", "config", "check", next); code != 0 {
+	if code, text := runProgram("", "config", "check", migrated); code != 0 {
 		t.Errorf("migrated file refused: %s", text)
 	}
-	first, _ := os.ReadFile(next)
+	migratedText, _ := os.ReadFile(migrated)
 	bad := filepath.Join(t.TempDir(), "bad.toml")
-	broken := strings.Replace(string(original), "dest = 7", "dest = -7\nlode = 3", 1)
-	if err := os.WriteFile(bad, []byte(broken), 0o600); err != nil {
+	invalid := strings.Replace(string(original), "dest = 7", "dest = -7\nlode = 3", 1)
+	if err := os.WriteFile(bad, []byte(invalid), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	other := filepath.Join(t.TempDir(), "other.toml")
 	for _, c := range []struct {
 		code int
-		word string
+		want string
 		args []string
 	}{
-		{1, "already exists", []string{old, "-o", next}},
+		{1, "already exists", []string{old, "-o", migrated}},
 		{1, "already exists", []string{old, "-o", old, "--force"}},
-		{1, "already uses the new layout", []string{next, "-o", other}},
+		{1, "already uses the new layout", []string{migrated, "-o", other}},
 		{1, "lode", []string{bad, "-o", other}},
 		{1, "no such file", []string{"nowhere.toml", "-o", other}},
 		{2, "-o is not given", []string{old}},
@@ -87,18 +88,18 @@
 	} {
 		code, text := runProgram("", append([]string{"config", "migrate"}, c.args...)...)
 		_, err := os.Stat(other)
-		if code != c.code || !strings.Contains(text, c.word) || strings.Count(strings.TrimSpace(text), "\n") > 0 || err == nil {
+		if code != c.code || !strings.Contains(text, c.want) || strings.Count(strings.TrimSpace(text), "\n") > 0 || err == nil {
 			t.Errorf("%v: exit %d, %q, written: %v", c.args, code, text, err == nil)
 		}
 	}
-	if code, _ := runProgram("", "config", "migrate", old, "-o", next, "--force"); code != 0 {
+	if code, _ := runProgram("", "config", "migrate", old, "-o", migrated, "--force"); code != 0 {
 		t.Error("--force does not overwrite")
 	}
-	now, _ := os.ReadFile(old)
-	last, _ := os.ReadFile(next)
-	left, _ := filepath.Glob(filepath.Join(filepath.Dir(next), ".migrate-*"))
-	if string(now) != string(original) || string(last) != string(first) || len(left) > 0 {
-		t.Error("old file changed, new file differs, or temporary files left:", left)
+	oldAfter, _ := os.ReadFile(old)
+	migratedAfter, _ := os.ReadFile(migrated)
+	temporaryFiles, _ := filepath.Glob(filepath.Join(filepath.Dir(migrated), ".migrate-*"))
+	if string(oldAfter) != string(original) || string(migratedAfter) != string(migratedText) || len(temporaryFiles) > 0 {
+		t.Error("old file changed, new file differs, or temporary files left:", temporaryFiles)
 	}
 }
 
@@ -108,18 +109,19 @@
 	calls atomic.Int64
 }
 
+// newCountingEndpoint returns an endpoint that answers each call with answer.
 func newCountingEndpoint(answer func(http.ResponseWriter)) *countingEndpoint {
-	r := &countingEndpoint{}
-	r.Server = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
+	endpoint := &countingEndpoint{}
+	endpoint.Server = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
-		r.calls.Add(1)
+		endpoint.calls.Add(1)
 		answer(rw)
 	}))
-	return r
+	return endpoint
 }
 
-// A dispatcher runs on a migrated configuration, so its partner's endpoints are separate routes. The cheaper one refuses
-// with a Retry-After of a minute and gets no further call; the other one gets all notifications.
+// A dispatcher runs on a migrated configuration, so its partner's endpoints are separate routes. The cheaper endpoint refuses
+// a call with a Retry-After of a minute and receives no other call; the other endpoint receives all notifications.
 func TestMigratedSeparateRoutes(t *testing.T) {
 	refusing := newCountingEndpoint(func(rw http.ResponseWriter) {
 		rw.Header().Set("Retry-After", "60")
@@ -128,40 +130,40 @@
 	defer refusing.Close()
 	accepting := newCountingEndpoint(func(http.ResponseWriter) {})
 	defer accepting.Close()
-	w := newEnvironment()
-	defer os.RemoveAll(w.dir)
-	defer w.agent.Close()
+	env := newEnvironment()
+	defer os.RemoveAll(env.dir)
+	defer env.agent.Close()
 	strip := func(url string) string { return strings.TrimPrefix(url, "http://") }
-	old := writeOldLayoutFile(t, w.listen, strip(w.agent.URL), strip(refusing.URL), strip(accepting.URL))
-	next := filepath.Join(w.dir, "new.toml")
-	if code, text := runProgram("", "config", "migrate", old, "-o", next); code != 0 {
+	old := writeOldLayoutFile(t, env.listen, strip(env.agent.URL), strip(refusing.URL), strip(accepting.URL))
+	migrated := filepath.Join(env.dir, "new.toml")
+	if code, text := runProgram("", "config", "migrate", old, "-o", migrated); code != 0 {
 		t.Fatal(text)
 	}
-	text, _ := os.ReadFile(next) // set the fee of the second zone, as the notes ask for
+	text, _ := os.ReadFile(migrated) // set the fee of the second zone, as the notes ask for
 	i := strings.LastIndex(string(text), "fee = 0.0")
 	if i < 0 {
 		t.Fatalf("no zone fee in the file:\n%s", text)
 	}
-	if err := os.WriteFile(next, []byte(string(text[:i])+"fee = 0.1"+string(text[i+len("fee = 0.0"):])), 0o600); err != nil {
+	if err := os.WriteFile(migrated, []byte(string(text[:i])+"fee = 0.1"+string(text[i+len("fee = 0.0"):])), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, form := runProgram("", "config", "convert", next)
+	code, converted := runProgram("", "config", "convert", migrated)
 	if code != 0 {
-		t.Fatal(form)
+		t.Fatal(converted)
 	}
-	if err := os.WriteFile(filepath.Join(w.dir, "config.json"), []byte(form), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(env.dir, "config.json"), []byte(converted), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.start()
-	defer func() { _ = w.process.Process.Kill(); _ = w.process.Wait() }()
-	const messages = 6
-	for i := range messages {
-		w.submit(fmt.Sprint("m", i), "order-status", "x")
-		for until := time.Now().Add(5 * time.Second); accepting.calls.Load() <= int64(i) && time.Now().Before(until); {
+	env.start()
+	defer func() { _ = env.process.Process.Kill(); _ = env.process.Wait() }()
+	const notifications = 6
+	for i := range notifications {
+		env.submit(fmt.Sprint("m", i), "order-status", "x")
+		for deadline := time.Now().Add(5 * time.Second); accepting.calls.Load() <= int64(i) && time.Now().Before(deadline); {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	if refusing.calls.Load() != 1 || accepting.calls.Load() != messages {
-		t.Errorf("refusing route got %d calls, want 1; other route got %d of %d\n%s", refusing.calls.Load(), accepting.calls.Load(), messages, w.log.String())
+	if refusing.calls.Load() != 1 || accepting.calls.Load() != notifications {
+		t.Errorf("refusing route got %d calls, want 1; other route got %d of %d\n%s", refusing.calls.Load(), accepting.calls.Load(), notifications, env.log.String())
 	}
 }
--- a/cmd/orchiddrift/soak.go
+++ b/cmd/orchiddrift/soak.go
@@ -19,108 +19,110 @@
 
 // labSoakFlags holds the flags of "lab soak".
 type labSoakFlags struct {
-	seed   uint64
-	seeds  int
-	time   time.Duration
-	keep   string
-	steps  bool
-	debug  bool
-	detail bool
+	firstSeed     uint64
+	seedCount     int
+	loadDuration  time.Duration // for each seed
+	keepDir       string        // "" to keep nothing
+	stepClocks    bool          // step wall clocks between processes
+	debugLog      bool          // dispatchers log at debug level
+	printTroubles bool
 }
 
 func newLabSoakCommand() *cobra.Command {
 	f := &labSoakFlags{}
-	c := &cobra.Command{Use: "soak", Short: "Run random overlapping troubles against 10 to 40 dispatchers on machines that fail",
+	command := &cobra.Command{Use: "soak", Short: "Run random overlapping troubles against 10 to 40 dispatchers on machines that fail",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd) }}
-	flags := c.Flags()
-	flags.Uint64Var(&f.seed, "seed", 1, "the first seed")
-	flags.IntVar(&f.seeds, "seeds", 1, "number of seeds, run one after another")
-	flags.DurationVar(&f.time, "time", 15*time.Second, "duration of the load for each seed")
-	flags.StringVar(&f.keep, "keep", "", "folder in which to keep the observations of each seed")
-	flags.BoolVar(&f.steps, "steps", true, "step wall clocks between processes")
-	flags.BoolVar(&f.debug, "debug", false, "let dispatchers log at debug level")
-	flags.BoolVarP(&f.detail, "detail", "v", false, "print each seed's troubles")
-	return c
+	flags := command.Flags()
+	flags.Uint64Var(&f.firstSeed, "seed", 1, "the first seed")
+	flags.IntVar(&f.seedCount, "seeds", 1, "number of seeds, run one after another")
+	flags.DurationVar(&f.loadDuration, "time", 15*time.Second, "duration of the load for each seed")
+	flags.StringVar(&f.keepDir, "keep", "", "folder in which to keep the observations of each seed")
+	flags.BoolVar(&f.stepClocks, "steps", true, "step wall clocks between processes")
+	flags.BoolVar(&f.debugLog, "debug", false, "let dispatchers log at debug level")
+	flags.BoolVarP(&f.printTroubles, "detail", "v", false, "print each seed's troubles")
+	return command
 }
 
-// newSoakChildCommand returns the command of a dispatcher on a machine that fails, which the soak starts.
+// newSoakChildCommand returns the command that "lab soak" starts for each dispatcher. It runs the dispatcher with
+// injected faults.
 func newSoakChildCommand() *cobra.Command {
-	debug := false
-	c := &cobra.Command{Use: "soak-child", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	debugLog := false
+	command := &cobra.Command{Use: "soak-child", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		logOptions := dispatcher.LogOptions{Output: os.Stderr, Level: zerolog.InfoLevel}
-		if debug {
+		if debugLog {
 			logOptions.Level = zerolog.DebugLevel
 		}
 		return asFailure(soak.RunFaultyDispatcher(os.Getenv, logOptions))
 	}}
-	c.Flags().BoolVar(&debug, "debug", false, "log at debug level")
-	return c
+	command.Flags().BoolVar(&debugLog, "debug", false, "log at debug level")
+	return command
 }
 
-// run runs the seeds and prints the result of each. For a seed with findings it prints the command that repeats it.
+// run runs the seeds one after another and prints the result of each. For a seed with findings it prints the command that
+// repeats it. A seed with findings counts as void if the machine was overloaded.
 func (f *labSoakFlags) run(cmd *cobra.Command) error {
-	const least, most, mostSeeds = 2 * time.Second, 10 * time.Minute, 10_000
-	if f.time < least || f.time > most {
-		return fmt.Errorf("--time cannot be %v: give %v to %v", f.time, least, most)
+	const minDuration, maxDuration, maxSeeds = 2 * time.Second, 10 * time.Minute, 10_000
+	if f.loadDuration < minDuration || f.loadDuration > maxDuration {
+		return fmt.Errorf("--time cannot be %v: give %v to %v", f.loadDuration, minDuration, maxDuration)
 	}
-	if f.seeds < 1 || f.seeds > mostSeeds {
-		return fmt.Errorf("--seeds cannot be %d: give 1 to %d", f.seeds, mostSeeds)
+	if f.seedCount < 1 || f.seedCount > maxSeeds {
+		return fmt.Errorf("--seeds cannot be %d: give 1 to %d", f.seedCount, maxSeeds)
 	}
 	executable, err := os.Executable()
 	if err != nil {
 		return asFailure(err)
 	}
 	command := fleet.Command{Path: executable, Args: []string{"lab", "soak-child"}}
-	if f.debug {
+	if f.debugLog {
 		command.Args = append(command.Args, "--debug")
 	}
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	out, failed, void, overlaps := cmd.OutOrStdout(), 0, 0, soak.Overlaps{}
-	for seed := f.seed; seed < f.seed+uint64(f.seeds) && ctx.Err() == nil; seed++ {
-		keep := f.keep
-		if keep != "" {
-			keep = filepath.Join(keep, fmt.Sprint("seed-", seed))
+	out, failedSeeds, voidSeeds, overlaps := cmd.OutOrStdout(), 0, 0, soak.Overlaps{}
+	for seed := f.firstSeed; seed < f.firstSeed+uint64(f.seedCount) && ctx.Err() == nil; seed++ {
+		keepDir := f.keepDir
+		if keepDir != "" {
+			keepDir = filepath.Join(keepDir, fmt.Sprint("seed-", seed))
 		}
-		r, err := soak.Run(ctx, seed, f.time.Seconds(), soak.Options{Command: command, KeepDir: keep, StepClocks: f.steps})
+		result, err := soak.Run(ctx, seed, f.loadDuration.Seconds(), soak.Options{Command: command, KeepDir: keepDir, StepClocks: f.stepClocks})
 		if err != nil {
 			return asFailure(err)
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		overlaps.Add(r.Overlaps)
+		overlaps.Add(result.Overlaps)
 		fmt.Fprintf(out, "seed %d: %d dispatchers, %d endpoints, crowded %v, %d troubles, %d misbehaving clients, %d accepted, %d delivered, %d findings\n",
-			seed, r.DispatcherCount, r.EndpointCount, r.Flooded, len(r.Troubles), r.MisbehavingClients, r.Totals.Accepted, r.Totals.Delivered, len(r.Findings))
-		if f.detail {
-			for _, trouble := range r.Troubles {
+			seed, result.DispatcherCount, result.EndpointCount, result.Flooded, len(result.Troubles), result.MisbehavingClients, result.Totals.Accepted, result.Totals.Delivered, len(result.Findings))
+		if f.printTroubles {
+			for _, trouble := range result.Troubles {
 				fmt.Fprintln(out, "   ", trouble)
 			}
 		}
-		if len(r.Findings) == 0 {
+		if len(result.Findings) == 0 {
 			continue
 		}
-		if len(r.UnplannedStalls) > 0 {
-			void++
-			fmt.Fprintln(out, "   void, the machine was overloaded:", strings.Join(r.UnplannedStalls, "; "))
+		if len(result.UnplannedStalls) > 0 {
+			voidSeeds++
+			fmt.Fprintln(out, "   void, the machine was overloaded:", strings.Join(result.UnplannedStalls, "; "))
 		} else {
-			failed++
+			failedSeeds++
 		}
-		for _, finding := range r.Findings {
+		for _, finding := range result.Findings {
 			fmt.Fprintln(out, "  ", finding)
 		}
-		fmt.Fprintf(out, "   again: orchiddrift lab soak --seed %d --time %v --steps=%v --keep FOLDER --debug -v\n", seed, f.time, f.steps)
+		fmt.Fprintf(out, "   again: orchiddrift lab soak --seed %d --time %v --steps=%v --keep FOLDER --debug -v\n", seed, f.loadDuration, f.stepClocks)
 	}
 	if ctx.Err() != nil {
 		return asFailure(ctx.Err())
 	}
 	fmt.Fprintf(out, "troubles that overlapped: %v\n", overlaps)
 	fmt.Fprintf(out, "never overlapped: %s\n", strings.Join(overlaps.Missing(), ", "))
-	if void > 0 {
-		fmt.Fprintf(out, "%d of %d seeds were void\n", void, f.seeds)
+	if voidSeeds > 0 {
+		fmt.Fprintf(out, "%d of %d seeds were void\n", voidSeeds, f.seedCount)
 	}
-	if failed > 0 {
-		return exitError{ruleBroken, fmt.Errorf("%d of %d seeds had findings", failed, f.seeds)}
+	if failedSeeds > 0 {
+		return exitError{exitRuleViolated, fmt.Errorf("%d of %d seeds had findings", failedSeeds, f.seedCount)}
 	}
 	return nil
 }
