--- a/appconfig/appconfig_test.go
+++ b/appconfig/appconfig_test.go
@@ -40,11 +40,11 @@
 
 // findingsIn returns the findings of Parse and, if the text can be parsed, of Check.
 func findingsIn(file, text string) []appconfig.Finding {
-	a, found := appconfig.Parse(file, []byte(text))
-	if a != nil {
-		found = append(found, appconfig.Check(a)...)
+	app, findings := appconfig.Parse(file, []byte(text))
+	if app != nil {
+		findings = append(findings, appconfig.Check(app)...)
 	}
-	return found
+	return findings
 }
 
 // Each invalid configuration in testdata/bad.toml violates the expected rule. The finding has a reason, a remedy and the line.
@@ -70,13 +70,13 @@
 				t.Errorf("%s: the case does not change the example", c.Name)
 			}
 		}
-		found := findingsIn("app.toml", bad)
-		i := slices.IndexFunc(found, func(f appconfig.Finding) bool { return f.Rule == c.Want })
+		findings := findingsIn("app.toml", bad)
+		i := slices.IndexFunc(findings, func(f appconfig.Finding) bool { return f.Rule == c.Want })
 		if i < 0 {
-			t.Errorf("%s: want %s, found %v", c.Name, c.Want, found)
+			t.Errorf("%s: want %s, found %v", c.Name, c.Want, findings)
 			continue
 		}
-		f := found[i]
+		f := findings[i]
 		if f.Reason == "" || f.Remedy == "" || strings.Contains(f.String(), "\n") {
 			t.Errorf("%s: want one line with reason and remedy: %v", c.Name, f)
 		}
@@ -95,14 +95,14 @@
 	for _, f := range findingsIn("billing.toml", bad) {
 		fmt.Println(f)
 	}
-	a, _ := appconfig.Parse("billing.toml", text)
-	b, _ := appconfig.Parse("meters.toml", []byte(strings.NewReplacer(`"billing"`, `"meters"`, "rate = 15.0", "rate = 12.0").Replace(string(text))))
-	for _, f := range appconfig.CheckFleet([]*appconfig.App{a, b}) {
+	billing, _ := appconfig.Parse("billing.toml", text)
+	meters, _ := appconfig.Parse("meters.toml", []byte(strings.NewReplacer(`"billing"`, `"meters"`, "rate = 15.0", "rate = 12.0").Replace(string(text))))
+	for _, f := range appconfig.CheckFleet([]*appconfig.App{billing, meters}) {
 		fmt.Println(f)
 	}
-	c, _ := appconfig.Parse("new.toml", []byte(strings.Replace(string(text), `"once-only"`, `"repeatable"`, 1)))
-	fmt.Println(appconfig.CheckReload(a, c)[0])
-	fmt.Println(len(appconfig.CheckReload(a, a)))
+	changed, _ := appconfig.Parse("new.toml", []byte(strings.Replace(string(text), `"once-only"`, `"repeatable"`, 1)))
+	fmt.Println(appconfig.CheckReload(billing, changed)[0])
+	fmt.Println(len(appconfig.CheckReload(billing, billing)))
 	// Output:
 	// billing.toml:15: dispatcher.slots: OD006: 0 is not in the range 2 to 1e+06. Use a number in the range.
 	// billing.toml:44: topics[2].repeat: OD008: "sometimes" is not a repeat kind. Set repeatable, collapsible or once-only; use once-only if a second effect would cost somebody.
@@ -118,11 +118,11 @@
 
 // A scheduler can be built from the platform's format of the example.
 func TestPlatformConfig(t *testing.T) {
-	a, found := appconfig.Parse("app.toml", []byte(readExample(t)))
-	if len(found) > 0 {
-		t.Fatal(found)
+	app, findings := appconfig.Parse("app.toml", []byte(readExample(t)))
+	if len(findings) > 0 {
+		t.Fatal(findings)
 	}
-	text, err := a.PlatformConfig()
+	text, err := app.PlatformConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,9 +144,9 @@
 	f.Add("[[partners.endpoints]]\nid=\"x\"\n")
 	f.Add("partners = [{endpoints = [{}]}]\n[a.b]\nc.d = 1")
 	f.Fuzz(func(t *testing.T, text string) {
-		for _, found := range findingsIn("x", text) {
-			if found.Rule == "" || found.Reason == "" {
-				t.Error(found)
+		for _, finding := range findingsIn("x", text) {
+			if finding.Rule == "" || finding.Reason == "" {
+				t.Error(finding)
 			}
 		}
 	})
@@ -158,11 +158,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, found := appconfig.Parse("app.toml", []byte(readExample(t)))
-	if len(found) > 0 {
-		t.Fatal(found)
+	app, findings := appconfig.Parse("app.toml", []byte(readExample(t)))
+	if len(findings) > 0 {
+		t.Fatal(findings)
 	}
-	got, err := a.PlatformConfig()
+	got, err := app.PlatformConfig()
 	if err != nil || string(got)+"\n" != string(want) {
 		t.Errorf("%v, differs from testdata/example.json:\n%s", err, got)
 	}
@@ -176,14 +176,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, found := appconfig.Parse("new.toml", text)
-	if next == nil || len(found) > 0 || len(appconfig.Check(next)) > 0 {
-		t.Fatalf("refused: %v\n%s", append(found, appconfig.Check(next)...), text)
+	migrated, findings := appconfig.Parse("new.toml", text)
+	if migrated == nil || len(findings) > 0 || len(appconfig.Check(migrated)) > 0 {
+		t.Fatalf("refused: %v\n%s", append(findings, appconfig.Check(migrated)...), text)
 	}
-	if old.UsesNewLayout() || !next.UsesNewLayout() || next.Topics[2] != old.Topics[2] || next.Dispatcher != old.Dispatcher {
+	if old.UsesNewLayout() || !migrated.UsesNewLayout() || migrated.Topics[2] != old.Topics[2] || migrated.Dispatcher != old.Dispatcher {
 		t.Errorf("topics or dispatcher changed, or wrong layout:\n%s", text)
 	}
-	platformConfig, err := next.PlatformConfig()
+	platformConfig, err := migrated.PlatformConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/orchiddrift/main_test.go
+++ b/cmd/orchiddrift/main_test.go
@@ -56,7 +56,7 @@
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	env.listen = ln.Addr().String()
 	ln.Close()
-	endpoint := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		env.events <- fmt.Sprint("pushed ", r.Header.Get("X-Call-Id"))
 		if string(body) == "hang up" {
@@ -66,11 +66,11 @@
 			time.Sleep(wait)
 		}
 	}))
-	env.agent = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	env.agent = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/notices" {
 			body, _ := io.ReadAll(r.Body)
 			env.events <- strings.TrimSpace(string(body))
-			rw.WriteHeader(http.StatusNoContent)
+			w.WriteHeader(http.StatusNoContent)
 			return
 		}
 		<-r.Context().Done()
--- a/cmd/orchiddrift/migrate_test.go
+++ b/cmd/orchiddrift/migrate_test.go
@@ -112,10 +112,10 @@
 // newCountingEndpoint returns an endpoint that answers each call with answer.
 func newCountingEndpoint(answer func(http.ResponseWriter)) *countingEndpoint {
 	endpoint := &countingEndpoint{}
-	endpoint.Server = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
-		_, _ = io.Copy(io.Discard, req.Body)
+	endpoint.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body)
 		endpoint.calls.Add(1)
-		answer(rw)
+		answer(w)
 	}))
 	return endpoint
 }
@@ -123,9 +123,9 @@
 // A dispatcher runs on a migrated configuration, so its partner's endpoints are separate routes. The cheaper endpoint refuses
 // a call with a Retry-After of a minute and receives no other call; the other endpoint receives all notifications.
 func TestMigratedSeparateRoutes(t *testing.T) {
-	refusing := newCountingEndpoint(func(rw http.ResponseWriter) {
-		rw.Header().Set("Retry-After", "60")
-		rw.WriteHeader(http.StatusTooManyRequests)
+	refusing := newCountingEndpoint(func(w http.ResponseWriter) {
+		w.Header().Set("Retry-After", "60")
+		w.WriteHeader(http.StatusTooManyRequests)
 	})
 	defer refusing.Close()
 	accepting := newCountingEndpoint(func(http.ResponseWriter) {})
--- a/dispatcher/logs.go
+++ b/dispatcher/logs.go
@@ -32,6 +32,7 @@
 	return options, nil
 }
 
+// logger returns a logger with the output, level and format of the options, and without fields.
 func (o LogOptions) logger() zerolog.Logger {
 	if o.Output == nil {
 		return zerolog.Nop()
--- a/dispatcher/start.go
+++ b/dispatcher/start.go
@@ -87,6 +87,7 @@
 	}
 }
 
+// isTransient reports whether a retry may resolve err.
 func isTransient(err error) bool {
 	for _, transient := range transientErrors {
 		if errors.Is(err, transient) {
--- a/dispatcher/system_test.go
+++ b/dispatcher/system_test.go
@@ -37,16 +37,16 @@
 		}
 	}))
 	t.Cleanup(func() { partner.CloseClientConnections(); partner.Close() })
-	agent := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		switch {
 		case r.Method == http.MethodPost:
 			env.notices <- string(body)
-			rw.WriteHeader(http.StatusNoContent)
+			w.WriteHeader(http.StatusNoContent)
 		case r.URL.RawQuery != "":
 			<-r.Context().Done() // the list does not change
 		default:
-			_ = json.NewEncoder(rw).Encode(map[string]any{"version": 1, "full": true, "servers": partnerList("s-1", partner.URL, "ready")})
+			_ = json.NewEncoder(w).Encode(map[string]any{"version": 1, "full": true, "servers": partnerList("s-1", partner.URL, "ready")})
 		}
 	}))
 	t.Cleanup(func() { agent.CloseClientConnections() })
