--- a/appconfig/appconfig_test.go
+++ b/appconfig/appconfig_test.go
@@ -14,6 +14,7 @@
 	"orchiddrift/settings"
 )
 
+// readExample returns the text of example/app.toml.
 func readExample(t testing.TB) string {
 	text, err := os.ReadFile("../example/app.toml")
 	if err != nil {
@@ -22,33 +23,34 @@
 	return string(text)
 }
 
-// withoutTable returns the text without the entries of a list.
+// withoutTable returns the text without the tables whose names begin with list.
 func withoutTable(text, list string) string {
 	var kept []string
-	in := false
+	inList := false
 	for _, line := range strings.Split(text, "\n") {
 		if strings.HasPrefix(line, "[") {
-			in = strings.HasPrefix(line, "[["+list)
+			inList = strings.HasPrefix(line, "[["+list)
 		}
-		if !in {
+		if !inList {
 			kept = append(kept, line)
 		}
 	}
 	return strings.Join(kept, "\n")
 }
 
+// findingsIn returns the findings of Parse and, if the text can be parsed, of Check.
 func findingsIn(file, text string) []appconfig.Finding {
-	a, found := appconfig.Parse(file, []byte(text))
-	if a != nil {
-		found = append(found, appconfig.Check(a)...)
+	app, findings := appconfig.Parse(file, []byte(text))
+	if app != nil {
+		findings = append(findings, appconfig.Check(app)...)
 	}
-	return found
+	return findings
 }
 
-// Each invalid configuration in testdata/bad.toml is refused by the expected rule, with the line of the mistake.
+// Each invalid configuration in testdata/bad.toml violates the expected rule. The finding has a reason, a remedy and the line.
 func TestInvalidConfigurations(t *testing.T) {
-	good := readExample(t)
-	if found := findingsIn("app.toml", good); len(found) > 0 {
+	example := readExample(t)
+	if found := findingsIn("app.toml", example); len(found) > 0 {
 		t.Fatalf("example refused: %v", found)
 	}
 	text, err := os.ReadFile("testdata/bad.toml")
@@ -62,19 +64,19 @@
 		t.Fatal(err)
 	}
 	for _, c := range data.Case {
-		bad := withoutTable(good, c.Without)
+		bad := withoutTable(example, c.Without)
 		if c.Without == "" {
-			if bad = strings.Replace(good, c.Old, c.New, 1); bad == good {
+			if bad = strings.Replace(example, c.Old, c.New, 1); bad == example {
 				t.Errorf("%s: the case does not change the example", c.Name)
 			}
 		}
-		found := findingsIn("app.toml", bad)
-		i := slices.IndexFunc(found, func(f appconfig.Finding) bool { return f.Rule == c.Want })
+		findings := findingsIn("app.toml", bad)
+		i := slices.IndexFunc(findings, func(f appconfig.Finding) bool { return f.Rule == c.Want })
 		if i < 0 {
-			t.Errorf("%s: want %s, found %v", c.Name, c.Want, found)
+			t.Errorf("%s: want %s, found %v", c.Name, c.Want, findings)
 			continue
 		}
-		f := found[i]
+		f := findings[i]
 		if f.Reason == "" || f.Remedy == "" || strings.Contains(f.String(), "\n") {
 			t.Errorf("%s: want one line with reason and remedy: %v", c.Name, f)
 		}
@@ -85,22 +87,22 @@
 	t.Log(len(data.Case), "invalid configurations")
 }
 
-// All findings are returned at once, each with its place, reason and remedy, also those between two applications and
-// those between two versions of a file.
+// All findings of a file are returned at once, each with its place, reason and remedy. So are the findings that concern two
+// applications, and those that concern two versions of a file.
 func Example_findings() {
 	text, _ := os.ReadFile("../example/app.toml")
 	bad := strings.NewReplacer(`repeat = "once-only"`, `repeat = "sometimes"`, "slots = 12", "slots = 0", `key = "customer account"`, "").Replace(string(text))
 	for _, f := range findingsIn("billing.toml", bad) {
 		fmt.Println(f)
 	}
-	a, _ := appconfig.Parse("billing.toml", text)
-	b, _ := appconfig.Parse("meters.toml", []byte(strings.NewReplacer(`"billing"`, `"meters"`, "rate = 15.0", "rate = 12.0").Replace(string(text))))
-	for _, f := range appconfig.CheckFleet([]*appconfig.App{a, b}) {
+	billing, _ := appconfig.Parse("billing.toml", text)
+	meters, _ := appconfig.Parse("meters.toml", []byte(strings.NewReplacer(`"billing"`, `"meters"`, "rate = 15.0", "rate = 12.0").Replace(string(text))))
+	for _, f := range appconfig.CheckFleet([]*appconfig.App{billing, meters}) {
 		fmt.Println(f)
 	}
-	c, _ := appconfig.Parse("new.toml", []byte(strings.Replace(string(text), `"once-only"`, `"repeatable"`, 1)))
-	fmt.Println(appconfig.CheckReload(a, c)[0])
-	fmt.Println(len(appconfig.CheckReload(a, a)))
+	changed, _ := appconfig.Parse("new.toml", []byte(strings.Replace(string(text), `"once-only"`, `"repeatable"`, 1)))
+	fmt.Println(appconfig.CheckReload(billing, changed)[0])
+	fmt.Println(len(appconfig.CheckReload(billing, billing)))
 	// Output:
 	// billing.toml:15: dispatcher.slots: OD006: 0 is not in the range 2 to 1e+06. Use a number in the range.
 	// billing.toml:44: topics[2].repeat: OD008: "sometimes" is not a repeat kind. Set repeatable, collapsible or once-only; use once-only if a second effect would cost somebody.
@@ -116,11 +118,11 @@
 
 // A scheduler can be built from the platform's format of the example.
 func TestPlatformConfig(t *testing.T) {
-	a, found := appconfig.Parse("app.toml", []byte(readExample(t)))
-	if len(found) > 0 {
-		t.Fatal(found)
+	app, findings := appconfig.Parse("app.toml", []byte(readExample(t)))
+	if len(findings) > 0 {
+		t.Fatal(findings)
 	}
-	text, err := a.PlatformConfig()
+	text, err := app.PlatformConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,60 +136,60 @@
 	}
 }
 
-// No text makes the checker panic, and each finding has a rule and a reason.
+// No text makes Parse or Check panic, and each finding has a rule and a reason.
 func FuzzParse(f *testing.F) {
-	good := readExample(f)
-	f.Add(good)
-	f.Add(strings.Replace(good, "topics", "partners", 3))
+	example := readExample(f)
+	f.Add(example)
+	f.Add(strings.Replace(example, "topics", "partners", 3))
 	f.Add("[[partners.endpoints]]\nid=\"x\"\n")
 	f.Add("partners = [{endpoints = [{}]}]\n[a.b]\nc.d = 1")
 	f.Fuzz(func(t *testing.T, text string) {
-		for _, found := range findingsIn("x", text) {
-			if found.Rule == "" || found.Reason == "" {
-				t.Error(found)
+		for _, finding := range findingsIn("x", text) {
+			if finding.Rule == "" || finding.Reason == "" {
+				t.Error(finding)
 			}
 		}
 	})
 }
 
-// A file of the old layout is converted byte for byte as before the new layout existed.
+// The platform configuration of a file of the old layout is byte for byte the same as before the new layout was introduced.
 func TestOldLayoutUnchanged(t *testing.T) {
 	want, err := os.ReadFile("testdata/example.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, found := appconfig.Parse("app.toml", []byte(readExample(t)))
-	if len(found) > 0 {
-		t.Fatal(found)
+	app, findings := appconfig.Parse("app.toml", []byte(readExample(t)))
+	if len(findings) > 0 {
+		t.Fatal(findings)
 	}
-	got, err := a.PlatformConfig()
+	got, err := app.PlatformConfig()
 	if err != nil || string(got)+"\n" != string(want) {
 		t.Errorf("%v, differs from testdata/example.json:\n%s", err, got)
 	}
 }
 
-// A migrated file passes the checks and uses the new layout. Its platform format has the layout's settings, and the notes
-// name what the operator has to set.
+// A migrated file passes the checks and uses the new layout. Its platform configuration has the settings of that layout, and
+// the notes name what the operator has to set.
 func TestMigrate(t *testing.T) {
 	old, _ := appconfig.Parse("old.toml", []byte(strings.Replace(readExample(t), `addr = "127.0.0.1:9003"`, "addr = \"127.0.0.1:9003\"\nzone = \"north\"", 1)))
 	text, notes, err := appconfig.Migrate(old)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, found := appconfig.Parse("new.toml", text)
-	if next == nil || len(found) > 0 || len(appconfig.Check(next)) > 0 {
-		t.Fatalf("refused: %v\n%s", append(found, appconfig.Check(next)...), text)
+	migrated, findings := appconfig.Parse("new.toml", text)
+	if migrated == nil || len(findings) > 0 || len(appconfig.Check(migrated)) > 0 {
+		t.Fatalf("refused: %v\n%s", append(findings, appconfig.Check(migrated)...), text)
 	}
-	if old.UsesNewLayout() || !next.UsesNewLayout() || next.Topics[2] != old.Topics[2] || next.Dispatcher != old.Dispatcher {
+	if old.UsesNewLayout() || !migrated.UsesNewLayout() || migrated.Topics[2] != old.Topics[2] || migrated.Dispatcher != old.Dispatcher {
 		t.Errorf("topics or dispatcher changed, or wrong layout:\n%s", text)
 	}
-	form, err := next.PlatformConfig()
+	platformConfig, err := migrated.PlatformConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{`"weight-kind": "silent"`, `"loses-worth": "halves"`, `"refusal-cost": 0`, `"weight": 1,`} {
-		if !strings.Contains(string(form), want) {
-			t.Errorf("%s not found in %s", want, form)
+		if !strings.Contains(string(platformConfig), want) {
+			t.Errorf("%s not found in %s", want, platformConfig)
 		}
 	}
 	for _, want := range []string{"line 60: partners[0].rate: not carried over: 10 per second", "zones[0].fee: fill in", "partners[1].routes: fill in"} {
--- a/dispatcher/logs.go
+++ b/dispatcher/logs.go
@@ -8,14 +8,14 @@
 	"github.com/rs/zerolog"
 )
 
-// LogOptions configures the log. The zero value discards it.
+// LogOptions configures the log. The zero value discards all messages.
 type LogOptions struct {
 	Output  io.Writer
 	Level   zerolog.Level
 	Console bool // human-readable lines instead of JSON
 }
 
-// NewLogOptions parses a level (debug, info, warn, error) and a format (json, console).
+// NewLogOptions returns the options for an output, a level (debug, info, warn or error) and a format (json or console).
 func NewLogOptions(output io.Writer, level, format string) (LogOptions, error) {
 	options := LogOptions{Output: output}
 	var err error
@@ -32,6 +32,7 @@
 	return options, nil
 }
 
+// logger returns a logger with the output, level and format of the options, and without fields.
 func (o LogOptions) logger() zerolog.Logger {
 	if o.Output == nil {
 		return zerolog.Nop()
