--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -15,24 +15,25 @@
 
 // Call is a call to an endpoint that carries one or more messages.
 type Call struct {
-	ID               uint64 // 0 until it is about to be sent; the ledger's records of its start and end carry it
+	ID               uint64 // assigned when it is about to be sent, 0 before; part of the ledger's records of its start and end
 	Endpoint         directory.Endpoint
 	Messages         []*message.Message
 	Conn             *push.Conn // nil until it is sent
 	waitUntil        float64    // time until which a response is awaited
 	answerValidUntil float64    // time until which a response is valid for all messages in the call
 	startBy          float64    // latest time at which its first byte may be sent
-	placedAt         float64
-	newConnection    bool // it must use a new connection
-	sentAt           float64
+	placedAt         float64    // time at which its first message was placed
+	needsNewConn     bool       // an idle connection must not be used
+	sentAt           float64    // time at which ID was assigned
 }
 
 // throttleKey is the scope of a told wait: a destination, or an endpoint of it that is a route of its own.
 type throttleKey struct{ dest, route string }
 
-// String returns the name of the scope for the checker.
+// String returns the name under which the checker tracks the scope.
 func (t throttleKey) String() string { return t.dest + "/" + t.route }
 
+// throttleKeyOf returns the scope of a wait told by an endpoint.
 func (g *Gateway) throttleKeyOf(e directory.Endpoint) throttleKey {
 	if g.separateRoutes[e.Kind] {
 		return throttleKey{e.Dest, e.ID}
@@ -43,11 +44,12 @@
 // Remaining returns how long, in seconds, a response to the call may still be awaited.
 func (c *Call) Remaining(now float64) float64 { return max(0, c.waitUntil-now) }
 
-// addToCall adds a push to the latest call of this round to its endpoint that has room, or to a new call. All messages
-// of a call share one connection, one result and one budget. The response is awaited as long as any of the messages
-// allows, but not beyond the first end of a TTL among them: a later response would be too late for one of the messages
-// and may hold for none of them, although it reports all as delivered, so messages settled by it would be lost. A
-// message with little time left therefore shortens the wait of the others in its call.
+// addToCall adds a push to the latest call of this round to its endpoint that has room, or to a new call. A message whose
+// body does not fit into that call is put into overflowCalls. All messages of a call share one connection, one response and
+// one budget. The response is awaited as long as any of the messages allows, but not beyond the first end of a TTL among
+// them: a later response would be too late for one of the messages. It may be valid for none of them, although it reports
+// all as delivered, and messages settled by it would be lost. A message with little time left therefore shortens the wait
+// of the others in its call.
 func (g *Gateway) addToCall(now float64, d decide.Decision) {
 	p := g.pending[d.NotificationID]
 	p.startBy, p.firstRun = now+d.StartWithin, d.FirstRun
@@ -64,24 +66,24 @@
 			c.answerValidUntil = min(c.answerValidUntil, now+d.AnswerValidFor)
 			c.startBy = min(c.startBy, p.startBy)
 			c.waitUntil = min(max(c.waitUntil, waitUntil), c.answerValidUntil)
-			c.newConnection = c.newConnection || d.NewConnection
+			c.needsNewConn = c.needsNewConn || d.NewConnection
 			p.call = c
 			return
 		}
 	}
 	e, _ := g.directory.Find(p.message.Dest, d.Endpoint)
 	p.call = &Call{Endpoint: e, Messages: []*message.Message{p.message}, waitUntil: waitUntil,
-		answerValidUntil: now + d.AnswerValidFor, startBy: p.startBy, placedAt: now, newConnection: d.NewConnection}
+		answerValidUntil: now + d.AnswerValidFor, startBy: p.startBy, placedAt: now, needsNewConn: d.NewConnection}
 	g.formingCalls = append(g.formingCalls, p.call)
 }
 
 // startCalls assigns an idle connection to each call of this round, or has a new one dialed. Messages whose bodies did
-// not fit into a call are returned to the scheduler. It reports whether there were any, in which case PlaceDue has to
-// be called again at once.
+// not fit into a call are returned to the scheduler. It reports whether there were any: PlaceDue has to be called again
+// at once then.
 func (g *Gateway) startCalls(now float64) bool {
 	for _, c := range g.formingCalls {
 		conn := g.takeIdleConn(c.Endpoint)
-		if conn != nil && c.newConnection { // close one connection for the new one: endpoints limit their number
+		if conn != nil && c.needsNewConn { // close one connection for the new one: endpoints limit their number
 			g.emit(CloseConn{conn})
 			conn = nil
 		}
@@ -113,10 +115,11 @@
 	return nil
 }
 
-// handleDialed sends a call on its new connection. If the destination told a wait or the endpoint is no longer listed as
-// ready, the connection is kept and the messages are returned to the scheduler. So is each message whose push can no
-// longer start in time: a connection may take a second to establish, and a repeat is recognized only within a limited
-// time after the first push that may have run.
+// handleDialed sends a call on its new connection. If the call may no longer be sent, because the destination told a wait
+// or for another reason that MaySend checks, the connection is kept and the messages are returned to the scheduler. So is
+// each message whose push can no longer start in time: a connection may take a second to establish, and a repeat is
+// recognized only within a limited time after the first push that may have run. A call without a connection ends for all
+// its messages.
 func (g *Gateway) handleDialed(now float64, e Dialed) {
 	c := e.Call
 	if e.Conn == nil {
@@ -144,6 +147,7 @@
 	g.sendCall(now, c, e.Conn)
 }
 
+// sendCall assigns a number and a connection to a call, has its messages checked, and emits the effect that sends it.
 func (g *Gateway) sendCall(now float64, c *Call, conn *push.Conn) {
 	g.lastCallID++
 	c.ID, c.Conn, c.sentAt = g.lastCallID, conn, now
@@ -164,7 +168,7 @@
 	g.emit(effect)
 }
 
-// isOnCall reports whether a message is still carried by a call.
+// isOnCall reports whether a message is pending and still carried by the given call.
 func (g *Gateway) isOnCall(c *Call, m *message.Message) bool {
 	return g.pending[m.ID] != nil && g.pending[m.ID].call == c
 }
@@ -177,15 +181,15 @@
 	if result.RetryAfter > 0 {
 		g.handleToldWait(now, c.Endpoint, result.RetryAfter)
 	}
-	var on []*message.Message
+	var carried []*message.Message
 	var ends []push.End
 	for i, m := range c.Messages {
 		if g.isOnCall(c, m) {
-			on, ends = append(on, m), append(ends, result.Ends[i])
+			carried, ends = append(carried, m), append(ends, result.Ends[i])
 		}
 	}
 	result.Ends = ends
-	g.endPushes(now, c, on, result)
+	g.endPushes(now, c, carried, result)
 }
 
 // handleToldWait applies a wait told by an endpoint.
@@ -195,7 +199,8 @@
 	g.scheduler.HandleOutcome(now, decide.Outcome{Dest: e.Dest, Endpoint: e.ID, Wait: wait})
 }
 
-// endPushes applies the result of a call to some of its messages. The ledger records it before the scheduler acts on it.
+// endPushes applies the result of a call to some of its messages; result.Ends has the end of each of them in their order.
+// The ledger records the ends before decisions based on them are carried out.
 func (g *Gateway) endPushes(now float64, c *Call, messages []*message.Message, result push.CallResult) {
 	var records []ledger.Record
 	for i, m := range messages {
@@ -221,9 +226,9 @@
 	}
 }
 
-// endRecord returns the ledger record for the end of a message's push, and whether there is one. A call whose
-// connection was not established has no number and no start record. A record of its end could be mistaken for the end
-// of a call that may have run in an earlier process (incident of 2026-12-02).
+// endRecord returns the ledger record for the end of a message's push, and whether there is one. A call that never got
+// a connection has no number and no start record. A record of its end could be mistaken for the end of a call that may
+// have run in an earlier process (incident of 2026-12-02).
 func endRecord(c *Call, id string, end push.End) (ledger.Record, bool) {
 	outcome := end.Outcome()
 	switch {
@@ -238,7 +243,7 @@
 }
 
 // MaySend reports whether a call may still be sent: the endpoint is still listed as ready, no wait was told since the
-// call was placed, pushes are allowed, and its latest start has not passed.
+// call was placed, pushes are neither stopped nor held back, and its latest start has not passed.
 func (g *Gateway) MaySend(now float64, c *Call) bool {
 	listed, _ := g.directory.Find(c.Endpoint.Dest, c.Endpoint.ID)
 	return listed.Stage == directory.Ready && g.lastToldWait[g.throttleKeyOf(c.Endpoint)] < c.placedAt &&
@@ -248,8 +253,8 @@
 // noSocketPause is the pause of all pushes, in seconds, after the process could not open a socket.
 const noSocketPause = 0.05
 
-// closeIdleConns closes all idle connections, to free a descriptor, port or memory for a call that cannot get a
-// connection. It reports whether there were any.
+// closeIdleConns closes all idle connections, to free a descriptor, port or memory for a call for which no socket could be
+// opened. It reports whether there were any.
 func (g *Gateway) closeIdleConns() bool {
 	closed := 0
 	for _, id := range slices.Sorted(maps.Keys(g.idleConns)) {
@@ -262,6 +267,7 @@
 	return closed > 0
 }
 
+// keepIdleConn makes a connection available to later calls to the endpoint.
 func (g *Gateway) keepIdleConn(e directory.Endpoint, conn *push.Conn) {
 	g.idleConns[e.ID] = append(g.idleConns[e.ID], conn)
 }
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -17,10 +17,10 @@
 	Reply   func(Reply)
 }
 
-// AcceptFailed reports that a message could not be written to the ledger and so was not accepted.
+// AcceptFailed reports that a message was not accepted because it could not be written to the ledger.
 type AcceptFailed struct{ ID string }
 
-// Dialed reports the connection established for a call, or, if Conn is nil, why there is none.
+// Dialed reports the connection established for a call. If Conn is nil, End says why there is none.
 type Dialed struct {
 	Call *Call
 	Conn *push.Conn
@@ -36,7 +36,7 @@
 // LateWait reports a wait that an endpoint told after its call had been given up.
 type LateWait struct {
 	Endpoint directory.Endpoint
-	Wait     float64
+	Wait     float64 // seconds from the time of the event
 }
 
 // Listed is an update of the endpoint list: the full list, or the entries that changed.
@@ -45,7 +45,7 @@
 	Endpoints []directory.Endpoint
 }
 
-// ListLost reports that the endpoint list could not be fetched.
+// ListLost reports that a watch or a fetch of the endpoint list failed.
 type ListLost struct{}
 
 // NoticeAnswered reports that the platform has answered the notice for a message.
@@ -54,7 +54,7 @@
 // IntakeClosed reports that the process is shutting down and clients can no longer connect.
 type IntakeClosed struct{}
 
-// PushesStopped reports that no push may start any more, because it could not end before the process does.
+// PushesStopped reports that no push may start any more during shutdown, because it could not end before the process exits.
 type PushesStopped struct{}
 
 func (Arrived) event()        {}
@@ -90,14 +90,15 @@
 // Effects are carried out in order.
 type Effect interface{ effect() }
 
-// Accept writes a message to the ledger and then confirms it to the client. If the write fails, AcceptFailed follows.
+// Accept writes a message to the ledger and then confirms it to the client. If the write fails, AcceptFailed follows and
+// the client is answered with LedgerFailed.
 type Accept struct {
 	Message *message.Message
-	Reply   func(Reply)
+	Respond func(Reply)
 }
 
-// Answer replies to a client. Accepted is confirmed only if the ledger has the message: a duplicate may arrive before
-// the record of the first one is written.
+// Answer replies to a client. A duplicate is confirmed only if the ledger has the message: it may arrive before the
+// record of the message is written, and that write may fail.
 type Answer struct {
 	ID      string
 	Respond func(Reply)
@@ -124,7 +125,7 @@
 type Repeat struct {
 	ID         string
 	SinceFirst float64 // seconds since the first push that may have run
-	DedupScope string  // scope in which that push is known: "all" endpoints of the destination, or those of one "zone"
+	DedupScope string  // where a repeat of that push is recognized: at "all" endpoints of the destination, or in its "zone"
 	Zone       string  // zone of the first push that may have run
 }
 
@@ -134,13 +135,13 @@
 // Notify sends a notice to the platform until it is answered; NoticeAnswered follows.
 type Notify struct {
 	ID           string
-	Outcome      string
-	RetryIn      float64
+	Outcome      string  // GivenUp or HandedBack
+	RetryIn      float64 // seconds after which the client should submit it again; 0 for GivenUp
 	Dest         string  // for the log: destination of the message
-	RemainingTTL float64 // seconds left of its TTL; much time left and no push means that there was no room for it
+	RemainingTTL float64 // seconds left of its TTL; a message with much time left and no push was ended for lack of room
 }
 
-// Watch follows the endpoint list; Listed and ListLost follow.
+// Watch watches the endpoint list: Listed events follow until it fails, and then ListLost.
 type Watch struct{}
 
 // Fetch requests the full endpoint list once; Listed or ListLost follows.
--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -96,9 +96,9 @@
 }
 
 // submit submits a message and reports whether it was accepted.
-func (r *diskFixture) submit(until float64) bool {
+func (r *diskFixture) submit(expiresAt float64) bool {
 	accepted := make(chan bool, 1)
-	r.Post(gateway.Arrived{Message: newMessage(until), Reply: func(reply gateway.Reply) { accepted <- reply.Accepted }})
+	r.Post(gateway.Arrived{Message: newMessage(expiresAt), Reply: func(reply gateway.Reply) { accepted <- reply.Accepted }})
 	return <-accepted
 }
 
@@ -157,14 +157,14 @@
 // process would push the message again. Once the TTL has ended the notice is sent without a record. Writes are retried
 // with a pause.
 func noticeWaitsForLedger(t *testing.T) {
-	for until, sentUnwritten := range map[float64]bool{1020: false, 1001: true} {
+	for expiresAt, sentWithoutRecord := range map[float64]bool{1020: false, 1001: true} {
 		r := newDiskFixture(t, time.Now())
-		if !r.submit(until) {
+		if !r.submit(expiresAt) {
 			t.Fatal("message not accepted")
 		}
 		expectNext(t, "push", r.calls, "A1")
 		r.failWrites.Store(true)
-		if r.statuses <- http.StatusGatewayTimeout; sentUnwritten {
+		if r.statuses <- http.StatusGatewayTimeout; sentWithoutRecord {
 			expectNext(t, "notice", r.notices, "A1 handed_back")
 		}
 		select {
@@ -173,7 +173,7 @@
 		case <-time.After(800 * time.Millisecond):
 		}
 		r.failWrites.Store(false)
-		if !sentUnwritten {
+		if !sentWithoutRecord {
 			expectNext(t, "notice", r.notices, "A1 handed_back")
 		}
 		if n := r.failedWrites.Load(); n > 100 {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,7 @@
-// Package gateway holds a dispatcher's state machine. Gateway.Step applies an event, asks the scheduler for a decision
-// and returns the effects to carry out; Gateway.PlaceDue starts what is due. Both are free of I/O, which is done by
-// Runner. Points in time and durations are in seconds of the dispatcher's clock unless stated otherwise.
+// Package gateway implements a dispatcher's state machine and its event loop. Gateway.Step applies an event, asks the
+// scheduler for decisions and returns the effects to carry out; Gateway.PlaceDue places the messages that are due.
+// Neither changes anything outside the process: Runner carries out the effects. Times and durations are in seconds of
+// the dispatcher's clock unless stated otherwise.
 package gateway
 
 import (
@@ -18,8 +19,8 @@
 
 // Outcomes reported in a notice.
 const (
-	GivenUp    = "given_up"
-	HandedBack = "handed_back"
+	GivenUp    = "given_up"    // the message may have run and is not safe to submit again
+	HandedBack = "handed_back" // the message is safe to submit again, preferably after RetryIn
 )
 
 // Gateway holds the accepted messages that are not settled yet, and the calls and connections that serve them. A
@@ -38,21 +39,21 @@
 	formingCalls   []*Call                    // calls of the current round
 	overflowCalls  []*Call                    // calls for messages whose bodies did not fit into formingCalls
 	lastCallID     uint64                     // number of the latest call prepared for sending
-	intakeClosed   bool
-	pushesStopped  bool
-	listWaitUntil  float64 // no push starts before the first response of discovery or this time
-	pausedUntil    float64 // no push starts before this time
-	// Requests read until socketDelayUntil, shortly after a stall, may have waited for socketDelay in their sockets.
+	intakeClosed   bool                       // the process is shutting down and clients can no longer connect
+	pushesStopped  bool                       // no push may start any more
+	listWaitUntil  float64                    // no push starts before the first response of discovery or this time
+	pausedUntil    float64                    // no push starts before this time
+	// Requests read until socketDelayUntil, shortly after a stall, may have waited in their sockets for up to socketDelay.
 	socketDelay, socketDelayUntil float64
-	effects                       []Effect
+	effects                       []Effect               // not returned to the caller yet
 	checker                       *invariant.SendChecker // nil if sends are not checked
 }
 
 // pendingMessage is an accepted message that is not settled yet.
 type pendingMessage struct {
 	message       *message.Message
-	call          *Call
-	noticePending bool            // its notice has not been answered
+	call          *Call           // the call that carries its push; nil for none
+	noticePending bool            // its notice has not been answered yet
 	startBy       float64         // latest time at which its push may start
 	firstRun      decide.FirstRun // its first push that may have run, as of the latest placement
 }
@@ -85,15 +86,16 @@
 // platform.
 const clientTimeout = 0.4
 
-// ResumeAfterStall records that the process continues after a stall of the given length. No push starts until the news
-// that arrived during the stall has been read. Requests read until then may have waited in their sockets for up to
-// clientTimeout, so that much is taken off their TTL. Requests that have only just arrived lose that time as well.
+// ResumeAfterStall records that the process continues after a stall of the given length. All pushes pause for
+// pauseAfterStall, so that events that arrived during the stall are applied first. Requests read during the pause may have
+// waited in their sockets for the length of the stall, up to clientTimeout, so that much is taken off their TTL. Requests
+// that have only just arrived lose that time as well.
 func (g *Gateway) ResumeAfterStall(now, stall float64) {
 	g.PausePushes(now + pauseAfterStall)
 	g.socketDelay, g.socketDelayUntil = min(stall, clientTimeout), now+pauseAfterStall
 }
 
-// noPushBefore returns the time until which no push may start.
+// noPushBefore returns the time before which no push may start.
 func (g *Gateway) noPushBefore() float64 { return max(g.listWaitUntil, g.pausedUntil) }
 
 // Restore takes over, in the order of their acceptance, the messages that the ledger still holds after a restart.
@@ -116,7 +118,9 @@
 // Pending returns the number of accepted messages that are not settled yet.
 func (g *Gateway) Pending() int { return len(g.pending) }
 
-// Finished reports whether the process may exit. Messages that are still pending stay in the ledger.
+// Finished reports whether the process may exit: clients can no longer connect, and either no message is pending, or
+// pushes have been stopped, none is in progress and no notice is unanswered. Messages that are still pending then stay in
+// the ledger.
 func (g *Gateway) Finished() bool {
 	for _, p := range g.pending {
 		if !g.pushesStopped || p.call != nil || p.noticePending {
@@ -158,13 +162,13 @@
 	return g.takeEffects()
 }
 
-// endListWait allows pushes once discovery has responded or failed.
+// endListWait ends the wait of AwaitFirstList, once discovery has responded or failed.
 func (g *Gateway) endListWait() {
 	g.listWaitUntil = 0
 	g.checker.ListWaitEnded()
 }
 
-// handleListed applies an update of the endpoint list.
+// handleListed applies an update of the endpoint list to the directory and the checker.
 func (g *Gateway) handleListed(now float64, e Listed) {
 	if e.Full {
 		g.directory.Replace(e.Endpoints)
@@ -177,8 +181,9 @@
 	g.prune(now)
 }
 
-// PlaceDue places messages until none is due, and returns the effects and the time, in seconds, until it has to be
-// called again. Messages for one endpoint that are placed in one round share calls where the endpoint's kind allows it.
+// PlaceDue places messages until none is due. It returns the effects and the time, in seconds, after which it has to be
+// called again. While pushes are held back it places only messages that can no longer be delivered, which need no push.
+// Messages for one endpoint that are placed in one round share calls where the endpoint's kind allows it.
 func (g *Gateway) PlaceDue(now float64) ([]Effect, float64) {
 	if g.pushesStopped {
 		return nil, math.Inf(1)
@@ -271,7 +276,7 @@
 	}
 }
 
-// notify ends a message with a notice. The ledger has its record before the platform gets the notice.
+// notify ends a message with a notice, which is recorded in the ledger before it is sent to the platform.
 func (g *Gateway) notify(now float64, n Notify) {
 	p := g.pending[n.ID]
 	p.noticePending = true
@@ -281,8 +286,8 @@
 	g.emit(n)
 }
 
-// prune removes state that an update of the list has made obsolete: idle connections to endpoints that are gone, told
-// waits of destinations or routes that are no longer listed, and settled messages whose TTL has ended.
+// prune removes idle connections to endpoints that are no longer listed, told waits of destinations or routes that are
+// no longer listed, and settled messages whose TTL has ended. It runs after each update or failure of the endpoint list.
 func (g *Gateway) prune(now float64) {
 	g.checker.Prune(now, g.directory.Contains)
 	maps.DeleteFunc(g.settled, func(_ string, until float64) bool { return until < now })
@@ -300,8 +305,8 @@
 	})
 }
 
-// remove removes a settled message. Its ID is kept until its TTL ends, so that a message that is submitted again,
-// perhaps by another client, is not pushed a second time.
+// remove removes a settled message. Its ID is kept until its TTL ends, so that the message is not pushed again if it is
+// submitted again, perhaps by another client.
 func (g *Gateway) remove(id string) {
 	if p := g.pending[id]; p != nil {
 		g.settled[id] = p.message.ExpiresAt
@@ -310,14 +315,16 @@
 	delete(g.pending, id)
 }
 
-// settle removes a message that needs nothing further, and reports it to the scheduler as settled.
+// settle removes a message that was not accepted or whose notice was answered, also from the scheduler.
 func (g *Gateway) settle(now float64, id string) {
 	g.execute(now, g.scheduler.HandleOutcome(now, decide.Outcome{NotificationID: id, Result: decide.Withdrawn, Final: true}))
 	g.remove(id)
 }
 
+// emit queues an effect, which is returned to the caller of Step, PlaceDue or Restore.
 func (g *Gateway) emit(e Effect) { g.effects = append(g.effects, e) }
 
+// takeEffects returns the queued effects and empties the queue.
 func (g *Gateway) takeEffects() []Effect {
 	effects := g.effects
 	g.effects = nil
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -39,8 +39,8 @@
 	return line.Str("ntf", m.ID).Str("topic", m.Topic).Str("dest", m.Dest).Str("endpoint", c.Endpoint.ID)
 }
 
-// logRestored logs, for each message that an earlier process left in the ledger, what the ledger says of it. The lines
-// can be compared with the log of that process and with the output of "orchiddrift ledger inspect".
+// logRestored logs each message that an earlier process left in the ledger, with its state there, and counts it in the
+// metrics. The lines can be compared with the log of that process and with the output of "orchiddrift ledger inspect".
 func (r *Runner) logRestored(restored []ledger.Pending) {
 	now := r.Clock()
 	for _, pending := range restored {
@@ -63,8 +63,8 @@
 	}
 }
 
-// logRepeats logs, for each message in a call with an earlier push that may have run, how long ago that push was sent
-// and in which scope it is known.
+// logRepeats logs each message in a call that has an earlier push that may have run: how long ago that push was sent, and
+// in which scope it is recognized. It counts these messages in the metrics.
 func (r *Runner) logRepeats(effect SendCall) {
 	for _, repeat := range effect.Repeats {
 		r.Log.Info().Str("ntf", repeat.ID).Uint64("call", effect.Call.ID).Str("endpoint", effect.Call.Endpoint.ID).
@@ -74,7 +74,7 @@
 	}
 }
 
-// logEvent logs an event for operators and counts it in the metrics.
+// logEvent logs an event for operators, and counts the ends of pushes in the metrics.
 func (r *Runner) logEvent(e Event) {
 	switch e := e.(type) {
 	case CallEnded:
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,15 +10,16 @@
 	"orchiddrift/push"
 )
 
-// Metrics counts the outcomes of messages and pushes. A nil Metrics counts nothing. Only one goroutine may count; Write
-// may be called concurrently.
+// Metrics counts the outcomes of messages and pushes. A nil Metrics counts nothing. Only one goroutine at a time may count;
+// Write may be called concurrently.
 type Metrics struct {
 	set      *metrics.Set
-	pushes   map[push.End]*metrics.Counter
-	counters map[series]*metrics.Counter // all other counters
+	pushes   map[push.End]*metrics.Counter // counters of pushes by end, also in counters
+	counters map[series]*metrics.Counter   // all counters
 }
 
-// series identifies a counter by its name and label.
+// series identifies a counter by its name, without the prefix and suffix that all names have, and its label with the value.
+// An empty label stands for none.
 type series struct{ name, label, value string }
 
 // NewMetrics returns a Metrics with no counters.
@@ -33,7 +34,7 @@
 	}
 }
 
-// counter returns the counter of a series. Its full name is built only once.
+// counter returns the counter of a series, and creates it on first use. The full name is built only then.
 func (m *Metrics) counter(s series) *metrics.Counter {
 	c := m.counters[s]
 	if c == nil {
@@ -47,7 +48,7 @@
 	return c
 }
 
-// count increments a counter with a label; an empty label is left out.
+// count increments the counter of a series. It does nothing if m is nil.
 func (m *Metrics) count(name, label, value string) {
 	if m != nil {
 		m.counter(series{name, label, value}).Inc()
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -10,54 +10,54 @@
 	"orchiddrift/push"
 )
 
-// Platform is the source of the endpoint list and the recipient of notices. Its methods return at once and report what
-// follows by calling report.
+// Platform is the source of the endpoint list and the recipient of notices. Its methods return at once and pass the events
+// that follow to report.
 type Platform interface {
-	Watch(report func(Event))
-	Fetch(report func(Event))
-	Notify(n Notify, report func(Event))
+	Watch(report func(Event))            // carries out the effect Watch
+	Fetch(report func(Event))            // carries out the effect Fetch
+	Notify(n Notify, report func(Event)) // carries out the effect Notify
 }
 
-// Runner runs a Gateway: it feeds events to it and carries out its effects.
+// Runner runs a Gateway: it applies events to it and carries out its effects. Only Post may be called concurrently with
+// other methods.
 type Runner struct {
 	Gateway            *Gateway
 	Ledger             *ledger.Ledger
 	Platform           Platform
-	Clock              func() float64
-	Tick               float64 // minimum time between two rounds, in seconds
+	Clock              func() float64 // current time, in seconds
+	Tick               float64        // minimum time between two rounds, in seconds
 	Log                zerolog.Logger
-	Events             chan Event
-	Dialer             push.Dialer // nil for the system's dialer
-	WritePerEvent      bool        // write, and sync, the records of each event separately
-	Metrics            *Metrics    // may be nil
-	listFailureLogged  bool        // the last fetch of the list failed, and that has been logged
-	effects            []Effect
-	writeFailureLogged bool // the last write failed, and that has been logged
-	deferred           []deferredEffect
+	Events             chan Event       // events that Run has not applied yet
+	Dialer             push.Dialer      // nil for the system's dialer
+	WritePerEvent      bool             // write, and sync, the records of each event separately
+	Metrics            *Metrics         // may be nil
+	listFailureLogged  bool             // the last watch or fetch of the list failed, and that has been logged
+	effects            []Effect         // not carried out yet
+	writeFailureLogged bool             // the last write failed, and that has been logged
+	deferred           []deferredEffect // effects that wait for the ledger, in order
 	pendingRefusals    []pendingRefusal // refusals that may not be sent yet
 	wakeAt             float64          // time for which the next iteration of the loop was scheduled
 }
 
-// heartbeatInterval is the maximum sleep of the loop, so that a stall is also detected while there is nothing to do.
-//
-// stallThreshold is the delay of the loop above which the process counts as stalled. Shorter stalls are within the
-// margins of everything that a dispatcher may be told. A stall shorter than heartbeatInterval and stallThreshold
-// together may go unnoticed, which is within the grace of 0.5 s.
-//
-// pauseAfterStall is the pause of all pushes after a stall, in which news that arrived during the stall is read.
-//
-// All three are in seconds.
 const (
+	// heartbeatInterval is the maximum sleep of the loop, in seconds. It is short so that a stall is also detected while
+	// there is nothing to do.
 	heartbeatInterval = 0.15
-	stallThreshold    = 0.15
-	pauseAfterStall   = 0.05
+	// stallThreshold is the delay of the loop, in seconds, above which the process counts as stalled. Shorter stalls are
+	// within the tolerances of all rules that a dispatcher has to obey. A stall shorter than the sum of heartbeatInterval
+	// and stallThreshold may go undetected, which is within the grace of 0.5 s.
+	stallThreshold = 0.15
+	// pauseAfterStall is the pause of all pushes after a stall, in seconds. Events that arrived during the stall are
+	// applied in it.
+	pauseAfterStall = 0.05
 )
 
-// minSleep is the minimum sleep of the loop. Anything due within it counts as due, and without it the loop would spin on
-// remainders that round to zero.
+// minSleep is the minimum sleep of the loop. Without it the loop would spin on remainders that round to zero. Anything due
+// within it counts as due.
 const minSleep = time.Microsecond
 
-// Run processes events and starts rounds until the gateway has finished or stop is closed.
+// Run processes events and starts rounds until the gateway has finished or stop is closed. In the latter case it first
+// applies the events that are already queued.
 func (r *Runner) Run(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	lastRound := math.Inf(-1)
@@ -76,7 +76,7 @@
 		case <-timer.C:
 			r.detectStall()
 		}
-		r.processEvents(len(r.Events)) // they may carry a told wait that the next round has to obey
+		r.processEvents(len(r.Events)) // a queued event may be a told wait that the next round has to obey
 		wait := lastRound + r.Tick - r.Clock()
 		if wait <= 0 {
 			lastRound = r.Clock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// runRound places the messages that are due, and returns the time in seconds until the loop has to look again.
+// runRound places the messages that are due, and returns the time, in seconds, until the next round is due.
 func (r *Runner) runRound(now float64) float64 {
 	effects, wait := r.Gateway.PlaceDue(now)
 	r.effects = append(r.effects, effects...)
@@ -98,7 +98,7 @@
 	return min(wait, heartbeatInterval)
 }
 
-// detectStall checks, after each sleep of the loop, whether the process was stalled.
+// detectStall checks, after each sleep of the loop, whether the process was stalled, and pauses all pushes if so.
 func (r *Runner) detectStall() {
 	now := r.Clock()
 	if delay := now - r.wakeAt; delay > stallThreshold {
@@ -123,8 +123,8 @@
 	}
 }
 
-// drainEvents applies the events that were queued before the process ends. A result that stays unread here would count
-// as a push that may have run after the restart, and a delivered once-only notification would be given up.
+// drainEvents applies the queued events before the process exits. After the restart, a push whose result was not applied
+// here would count as one that may have run, and a delivered once-only message would be given up.
 func (r *Runner) drainEvents() {
 	for len(r.Events) > 0 {
 		r.processEvents(len(r.Events))
@@ -132,16 +132,17 @@
 	r.flush()
 }
 
-// Restore hands the messages that the ledger held at startup to the gateway.
+// Restore logs the messages that the ledger held at startup and passes them to the gateway.
 func (r *Runner) Restore(restored []ledger.Pending) {
 	r.logRestored(restored)
 	r.effects = append(r.effects, r.Gateway.Restore(r.Clock(), restored)...)
 	r.flush()
 }
 
-// Post queues an event for the loop.
+// Post queues an event for the loop. It blocks while Events is full.
 func (r *Runner) Post(e Event) { r.Events <- e }
 
+// step logs an event, applies it to the gateway and queues the effects.
 func (r *Runner) step(e Event) {
 	r.logEvent(e)
 	r.effects = append(r.effects, r.Gateway.Step(r.Clock(), e)...)
--- a/gateway/run_test.go
+++ b/gateway/run_test.go
@@ -55,7 +55,7 @@
 // Guards against sending an outdated budget: each write takes half a second here, and the writes before the push reduce
 // the budget. If nothing is left, nothing is sent.
 func Example_budgetWhenSent() {
-	for _, until := range []float64{1020, 1001.7} {
+	for _, expiresAt := range []float64{1020, 1001.7} {
 		requests := make(chan string, 1)
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			requests <- r.Header.Get("X-Budget")
@@ -68,7 +68,7 @@
 		before := folder.Writes
 		r := newRunner(store, func() float64 { return 1000 + 0.5*float64(folder.Writes-before) },
 			strings.TrimPrefix(server.URL, "http://"))
-		m := newMessage(until)
+		m := newMessage(expiresAt)
 		r.Post(gateway.Arrived{Message: m, Reply: func(gateway.Reply) {}})
 		if left, ok := runUntil(r, requests); ok {
 			fmt.Println("budget", left)
@@ -112,8 +112,8 @@
 }
 
 // newMessage returns message A1 for destination A.
-func newMessage(until float64) *message.Message {
-	m := &message.Message{ExpiresAt: until}
+func newMessage(expiresAt float64) *message.Message {
+	m := &message.Message{ExpiresAt: expiresAt}
 	m.ID, m.Topic, m.Dest = "A1", "reading", "A"
 	return m
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -2,6 +2,7 @@
 
 import "orchiddrift/push"
 
+// dial opens a connection with Dialer, or with the system's dialer if it is nil. The timeout is in seconds.
 func (r *Runner) dial(addr string, timeout float64) (*push.Conn, push.End) {
 	if r.Dialer == nil {
 		return push.Dial(addr, timeout)
@@ -9,7 +10,7 @@
 	return r.Dialer.Dial(addr, timeout)
 }
 
-// performCall sends a call and reports its result, and a wait that the endpoint tells after the call was given up.
+// performCall sends a call and posts its result, and then any wait that the endpoint tells after the call was given up.
 func (r *Runner) performCall(c *Call) {
 	conn, result := c.Conn, r.send(c)
 	r.Post(CallEnded{c, result})
@@ -21,11 +22,10 @@
 	}
 }
 
-// send sends a call and waits for the response. The remaining time is taken from the clock again, since writing the
-// records takes time and the process may have stalled. With an outdated budget, a push could be answered as delivered
-// after the end of its TTL, and a repeat could be sent after the endpoint has forgotten its idempotency key. The call
-// is withdrawn if it has no time left or its latest start has passed. That is wrong where the clock that set the TTLs
-// differs from this one.
+// send sends a call and waits for the response. The remaining time is computed again, since writing the records takes time
+// and the process may have stalled. With an outdated budget, a push could be answered as delivered after the end of its
+// TTL, and a repeat could be sent after the endpoint has discarded its idempotency key. The call is withdrawn if it has no
+// time left or its latest start has passed. This is wrong if the TTLs were set by a clock that differs from this one.
 func (r *Runner) send(c *Call) push.CallResult {
 	now := r.Clock()
 	remaining := c.Remaining(now)
--- a/gateway/write.go
+++ b/gateway/write.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// diskRetryPause is the pause of all pushes, in seconds, after a failed write.
+	// diskRetryPause is the pause of all pushes, in seconds, after a failed write, and the interval of the retries.
 	diskRetryPause = 0.05
-	// slowWriteThreshold is the duration of a write, in seconds, after which the events queued meanwhile are applied
-	// before the effects are carried out. Otherwise a drain or a told wait would be applied only after the pushes of
-	// that write.
+	// slowWriteThreshold is the duration of a write, in seconds, above which the events queued meanwhile are applied
+	// before the effects are carried out. Otherwise a drain or a told wait among them would be applied only after the
+	// pushes whose start was written have been sent.
 	slowWriteThreshold = 0.02
 	// writeWarningThreshold is the duration of a write, in seconds, above which a warning is logged. The loop waits for
 	// writes, and final answers are due within 0.3 s of the end of the TTL.
 	writeWarningThreshold = 0.1
 )
 
-// flush writes the records of all queued effects, and then carries out the effects in order. No reply and no call is
-// sent before its records are in the ledger.
+// flush carries out the queued effects in order, in groups whose records are written first. No reply and no call is sent
+// before its records are in the ledger.
 func (r *Runner) flush() {
 	r.retryDeferred()
 	failedAccepts := map[string]float64{} // ends of the TTLs, by ID, of messages that could not be accepted
@@ -39,30 +39,31 @@
 	r.effects = nil
 }
 
-// writeResult says which records of a group are in the ledger: all of them, or all but those of the accepted messages,
-// which need more room.
+// writeResult says which records of a group are in the ledger: allWritten is true of all of them, and restWritten of all
+// but those of newly accepted messages, which need more room.
 type writeResult struct{ allWritten, restWritten bool }
 
-// writeWithoutAccepts writes the records of a group except those of newly accepted messages. It reports whether there
-// were such messages and the rest is written.
+// writeWithoutAccepts writes the records of a group except those of newly accepted messages. It reports whether there are
+// such messages and the other records were written.
 func (r *Runner) writeWithoutAccepts(group []Effect) bool {
-	failedAccepts := map[string]bool{}
+	acceptIDs := map[string]bool{}
 	var records []ledger.Record
 	for _, e := range group {
 		if a, ok := e.(Accept); ok {
-			failedAccepts[a.Message.ID] = true
+			acceptIDs[a.Message.ID] = true
 			continue
 		}
 		for _, record := range recordsOf(e) {
-			if !failedAccepts[record.ID] {
+			if !acceptIDs[record.ID] {
 				records = append(records, record)
 			}
 		}
 	}
-	return len(failedAccepts) > 0 && r.write(records...)
+	return len(acceptIDs) > 0 && r.write(records...)
 }
 
-// nextGroup takes effects off the queue, as many as have records that are sure to fit into one write.
+// nextGroup takes effects off the queue and returns them with their records: as many as are certain to fit into one write,
+// but at least one.
 func (r *Runner) nextGroup() ([]Effect, []ledger.Record) {
 	n, bytes := 0, 0
 	var records []ledger.Record
@@ -84,7 +85,8 @@
 	return group, records
 }
 
-const recordOverhead = 64 // estimated size of a record, in bytes, in addition to a body
+// recordOverhead is the estimated size of a record, in bytes, without a message's body.
+const recordOverhead = 64
 
 // recordsOf returns the records that have to be written before an effect is carried out.
 func recordsOf(e Effect) []ledger.Record {
@@ -99,17 +101,17 @@
 	return nil
 }
 
-// deferredEffect is an effect that waits until the ledger can be written to again. A notice waits until its deadline at
-// most, the end of its message's TTL: from then on no later process can push the message, so the notice needs no record.
+// deferredEffect is an effect that waits until the ledger can be written to again. A notice waits at most until its
+// deadline, the end of its message's TTL: from then on no later process can push the message, so the notice needs no record.
 type deferredEffect struct {
-	effect   Effect
-	deadline float64 // of a notice; 0 for other effects
+	effect   Effect  // WriteRecords or Notify
+	deadline float64 // of a Notify; 0 for WriteRecords
 }
 
-// retryDeferred writes the deferred records in order, and sends the deferred notices whose records are written. Notices
-// whose messages have no time left are sent without their records.
+// retryDeferred writes the deferred records in order, and sends the deferred notices whose records are written. If a write
+// fails again, it pauses all pushes and sends the notices whose deadline has passed without their records.
 func (r *Runner) retryDeferred() {
-	r.answerSettledRefusals()
+	r.sendPendingRefusals()
 	for len(r.deferred) > 0 {
 		if w, ok := r.deferred[0].effect.(WriteRecords); ok && !r.tryWrite(w.Records) {
 			break
@@ -122,61 +124,62 @@
 	}
 	now := r.Clock()
 	r.Gateway.PausePushes(now + diskRetryPause)
-	r.deferred = slices.DeleteFunc(r.deferred, func(l deferredEffect) bool {
-		return l.deadline > 0 && l.deadline <= now && r.notifyDeferred(l)
+	r.deferred = slices.DeleteFunc(r.deferred, func(d deferredEffect) bool {
+		return d.deadline > 0 && d.deadline <= now && r.notifyDeferred(d)
 	})
 }
 
-// pendingRefusal is a refusal of a message whose record could not be written. A refusal promises that the message is not
-// pushed, so it waits until no later process can read the record, or the message's TTL has ended.
+// pendingRefusal is the refusal of a message whose record could not be written. A refused message must not be pushed, so
+// the refusal waits until no later process can read the record, or until the message's TTL has ended.
 type pendingRefusal struct {
-	reply     func(Reply)
-	expiresAt float64
+	respond   func(Reply)
+	expiresAt float64 // end of the message's TTL
 }
 
 // refuse queues the refusal of a message, and sends it once it is certain that the message is not pushed.
-func (r *Runner) refuse(reply func(Reply), expiresAt float64) {
-	r.pendingRefusals = append(r.pendingRefusals, pendingRefusal{reply, expiresAt})
-	r.answerSettledRefusals()
+func (r *Runner) refuse(respond func(Reply), expiresAt float64) {
+	r.pendingRefusals = append(r.pendingRefusals, pendingRefusal{respond, expiresAt})
+	r.sendPendingRefusals()
 }
 
-// answerSettledRefusals sends the refusals of messages that are certain not to be pushed.
-func (r *Runner) answerSettledRefusals() {
+// sendPendingRefusals sends the queued refusals of messages that are certain not to be pushed.
+func (r *Runner) sendPendingRefusals() {
 	if len(r.pendingRefusals) == 0 {
 		return
 	}
 	discarded, now := r.Ledger.DiscardFailedWrite(), r.Clock()
-	r.pendingRefusals = slices.DeleteFunc(r.pendingRefusals, func(x pendingRefusal) bool {
-		if !discarded && now < x.expiresAt {
+	r.pendingRefusals = slices.DeleteFunc(r.pendingRefusals, func(refusal pendingRefusal) bool {
+		if !discarded && now < refusal.expiresAt {
 			return false
 		}
 		r.Metrics.messageRefused(LedgerFailed)
-		x.reply(Reply{Reason: LedgerFailed})
+		refusal.respond(Reply{Reason: LedgerFailed})
 		return true
 	})
 }
 
 // notifyDeferred sends a deferred notice. It reports whether the effect is one.
-func (r *Runner) notifyDeferred(l deferredEffect) bool {
-	n, ok := l.effect.(Notify)
+func (r *Runner) notifyDeferred(d deferredEffect) bool {
+	n, ok := d.effect.(Notify)
 	if ok {
 		r.notify(n)
 	}
 	return ok
 }
 
-// execute carries out an effect after its records were written or the write failed.
+// execute carries out an effect after its records were written or the write failed. failedAccepts has the ends of the TTLs,
+// by ID, of messages that could not be accepted; a failed Accept is added to it.
 func (r *Runner) execute(e Effect, result writeResult, failedAccepts map[string]float64) {
 	switch e := e.(type) {
 	case Accept:
 		if result.allWritten {
-			e.Reply(Reply{Accepted: true})
+			e.Respond(Reply{Accepted: true})
 			r.Log.Debug().Str("ntf", e.Message.ID).Str("topic", e.Message.Topic).Str("dest", e.Message.Dest).
 				Str("key", e.Message.Key).Float64("left", e.Message.TimeLeft).Msg("message accepted")
 			return
 		}
 		failedAccepts[e.Message.ID] = e.Message.ExpiresAt
-		r.refuse(e.Reply, e.Message.ExpiresAt)
+		r.refuse(e.Respond, e.Message.ExpiresAt)
 		r.step(AcceptFailed{e.Message.ID})
 	case Answer:
 		if expiresAt, failed := failedAccepts[e.ID]; failed { // a duplicate of a message that could not be accepted
@@ -216,7 +219,7 @@
 // sendCall sends a call whose start is in the ledger. If its start could not be written, or an event applied since
 // forbids the call, it is not sent and its messages are returned to the scheduler.
 func (r *Runner) sendCall(e SendCall, startWritten bool, failedAccepts map[string]float64) {
-	acceptFailed := func(x ledger.Record) bool { _, failed := failedAccepts[x.ID]; return failed }
+	acceptFailed := func(record ledger.Record) bool { _, failed := failedAccepts[record.ID]; return failed }
 	end := push.Withdrawn
 	if !startWritten || slices.ContainsFunc(e.Records, acceptFailed) {
 		end = push.LedgerFailed
@@ -232,6 +235,7 @@
 	r.step(CallEnded{e.Call, result})
 }
 
+// notify logs a notice and passes it to the platform.
 func (r *Runner) notify(n Notify) {
 	r.Metrics.noticeSent(n.Outcome)
 	r.Log.Info().Str("ntf", n.ID).Str("dest", n.Dest).Str("outcome", n.Outcome).Float64("retry_in", n.RetryIn).
@@ -239,13 +243,13 @@
 	r.Platform.Notify(n, r.Post)
 }
 
-// write writes records to the ledger and reports whether they are there. It does not try while earlier effects are
-// deferred.
+// write writes records to the ledger and reports whether they were written. It does not try while earlier effects are
+// deferred, so that the order of the records is kept.
 func (r *Runner) write(records ...ledger.Record) bool {
 	return len(records) == 0 || len(r.deferred) == 0 && r.tryWrite(records)
 }
 
-// tryWrite writes records to the ledger and reports whether they are there. It logs slow and failed writes.
+// tryWrite writes records to the ledger and reports whether they were written. It logs slow and failed writes.
 func (r *Runner) tryWrite(records []ledger.Record) bool {
 	before := r.Clock()
 	err := r.Ledger.Write(records...)
--- a/push/call.go
+++ b/push/call.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	maxResponseBody   = 64 << 10 // bytes
-	maxBatchBody      = 64 << 10 // bytes of a request body that carries several messages
-	batchItemOverhead = 256      // bytes of JSON syntax allowed for each message of a batch
+	maxResponseBody   = 64 << 10 // maximum size of a response body, in bytes
+	maxBatchBody      = 64 << 10 // maximum size of the request body of a batch, in bytes
+	batchItemOverhead = 256      // bytes reserved for the JSON syntax of each message of a batch
 )
 
-// MinBudget is the smallest X-Budget that a call can announce to its endpoint, in seconds.
+// MinBudget is the smallest X-Budget that a call can announce to its endpoint, in seconds. Send announces whole milliseconds.
 const MinBudget = 1e-3
 
-// Fits reports whether m can be added to the messages of a call without exceeding the size limit of its body.
+// Fits reports whether m can be added to the messages of a call without exceeding the maximum size of a batch.
 func Fits(messages []*message.Message, m *message.Message) bool {
 	size := 0
 	for _, msg := range append(messages[:len(messages):len(messages)], m) {
@@ -41,7 +41,7 @@
 	LoadShare           float64
 	LoadLimit           float64
 	Reusable            bool   // the connection can carry another call
-	RawPrefix           []byte // the first bytes of a response that could not be parsed
+	RawPrefix           []byte // the first bytes of the response if the call ended as InvalidResponse
 	LateResponsePending bool   // the call was abandoned; the caller must call ReadLateRetryAfter, which closes the connection
 }
 
@@ -60,7 +60,7 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	timeout = math.Floor(timeout*1000) / 1000 // whole milliseconds, as X-Budget announces it: a later response counts for nothing at the endpoint
+	timeout = math.Floor(timeout*1000) / 1000 // as X-Budget announces it; the endpoint disregards a response that it sent later
 	encodeRequest(req, c.addr, messages, timeout)
 	end, reusable := c.exchange(req, resp, len(messages) == 1, time.Now().Add(toDuration(timeout)))
 	late := end == ResponseTimeout || end == InvalidResponse && !reusable
@@ -88,7 +88,8 @@
 	return result
 }
 
-// encodeRequest fills in the request: /hook for a single message, /hook/batch with a JSON list for several.
+// encodeRequest fills in the request: /hook for a single message, /hook/batch with a JSON list for several. X-Budget
+// announces the timeout, which is in seconds, to the endpoint.
 func encodeRequest(req *fasthttp.Request, addr string, messages []*message.Message, timeout float64) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetHost(addr)
@@ -122,7 +123,8 @@
 }
 
 // endByState maps the states in the response to a batch to ends.
-var endByState = map[string]End{"done": Delivered, "failed": Failed, "busy": Throttled, "void": AlreadySettled, "used_up": AttemptsExhausted}
+var endByState = map[string]End{"done": Delivered, "failed": Failed, "busy": Throttled, "void": AlreadySettled,
+	"used_up": AttemptsExhausted}
 
 // parseBatchStates returns the end of each message of a batch. A message that the response does not list, or lists with an
 // unknown state, gets InvalidResponse, since it may have run.
@@ -150,8 +152,8 @@
 	return ends
 }
 
-// parseLoadReport parses a load report such as "TEXT x0=0.4, x1=25". ok is false if a value is missing or is not a
-// finite number of at least 0.
+// parseLoadReport parses a load report such as "TEXT x0=0.4, x1=25": the share of the limit that is left, and the limit in
+// calls per second. ok is false if a value is missing or is not a finite number of at least 0.
 func parseLoadReport(text string) (share, limit float64, ok bool) {
 	values := map[string]float64{}
 	for _, field := range strings.FieldsFunc(text, func(r rune) bool { return r == ' ' || r == ',' }) {
@@ -168,7 +170,7 @@
 	return share, limit, hasShare && hasLimit
 }
 
-// parseSeconds parses a number of seconds. It returns 0 for an empty or invalid value.
+// parseSeconds parses a number of seconds. It returns 0 for a value that is empty, invalid, negative or not finite.
 func parseSeconds(text string) float64 {
 	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
--- a/push/conn.go
+++ b/push/conn.go
@@ -22,19 +22,22 @@
 var retryAfterLine = regexp.MustCompile(`(?i)\r?\nRetry-After:([^\r\n]*)\r?\n`)
 
 const (
-	// minResponseRestTimeout is the least time that the rest of a response may take after its first byte.
+	// minResponseRestTimeout is the time allowed for the rest of a response, after its first byte, if less is left until
+	// the deadline of the call.
 	minResponseRestTimeout = time.Millisecond
 	// chunkedLength is the content length that fasthttp reports for a chunked body.
 	chunkedLength = -1
-	// maxResponseRestTimeout is the most time that the rest of a response may take after its first byte.
+	// maxResponseRestTimeout is the maximum time allowed for the rest of a response after its first byte.
 	maxResponseRestTimeout = 250 * time.Millisecond
-	// lateResponseTimeout bounds the wait for a response that the endpoint wrote before it saw that the call was abandoned.
+	// lateResponseTimeout is the maximum wait for a response that the endpoint wrote before it saw that the call was
+	// abandoned.
 	lateResponseTimeout = 100 * time.Millisecond
 )
 
-// Conn is a connection to an endpoint.
+// Conn is a connection to an endpoint. Close may be called concurrently with the other methods; these must not be called
+// concurrently with each other.
 type Conn struct {
-	addr     string
+	addr     string // host and port of the endpoint
 	conn     net.Conn
 	reader   *bufio.Reader
 	writer   *bufio.Writer
@@ -42,17 +45,17 @@
 	closed   atomic.Bool     // Close was called
 }
 
-// maxRawPrefix is the number of bytes of an unparsable response that are kept for the log.
+// maxRawPrefix is the maximum number of bytes of an invalid response that are kept for the log.
 const maxRawPrefix = 256
 
-// prefixRecorder is a connection that records the first bytes of each response.
+// prefixRecorder is a connection that records the first bytes read from it since length was last set to 0.
 type prefixRecorder struct {
 	net.Conn
 	prefix [maxRawPrefix]byte
-	length int
+	length int // number of bytes recorded
 }
 
-// Read reads from the connection and records the bytes while there is room.
+// Read reads from the connection and records the bytes while prefix has room.
 func (r *prefixRecorder) Read(b []byte) (int, error) {
 	n, err := r.Conn.Read(b)
 	r.length += copy(r.prefix[r.length:], b[:n])
@@ -70,22 +73,24 @@
 // Dialer opens a TCP connection to an address within a timeout.
 type Dialer func(addr string, timeout time.Duration) (net.Conn, error)
 
-// Dial opens a connection to an endpoint with net.DialTimeout. The timeout is in seconds. If it fails, the Conn is nil and
-// the End says how.
+// Dial opens a connection to an endpoint with net.DialTimeout. The timeout is in seconds. If that fails, the Conn is nil and
+// the End says how; otherwise the End is Delivered.
 func Dial(addr string, timeout float64) (*Conn, End) {
 	return Dialer(func(addr string, timeout time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp", addr, timeout)
 	}).Dial(addr, timeout)
 }
 
-// Dial opens a connection to an endpoint. The timeout is in seconds. If it fails, the Conn is nil and the End says how.
+// Dial opens a connection to an endpoint with d. The timeout is in seconds. If that fails, the Conn is nil and the End says
+// how; otherwise the End is Delivered.
 func (d Dialer) Dial(addr string, timeout float64) (*Conn, End) {
 	conn, err := d(addr, toDuration(timeout))
 	if err != nil {
 		return nil, endOfDialError(err)
 	}
 	recorder := &prefixRecorder{Conn: conn}
-	return &Conn{addr: addr, conn: conn, reader: bufio.NewReaderSize(recorder, 4<<10), writer: bufio.NewWriterSize(conn, 4<<10), recorder: recorder}, Delivered
+	return &Conn{addr: addr, conn: conn, reader: bufio.NewReaderSize(recorder, 4<<10),
+		writer: bufio.NewWriterSize(conn, 4<<10), recorder: recorder}, Delivered
 }
 
 // localErrors are the errors of socket(2) and connect(2) that are caused by this machine and not by the endpoint: no file
@@ -94,7 +99,7 @@
 var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.EPERM, syscall.EACCES, syscall.EADDRINUSE}
 
-// endOfDialError returns the end that a dial error stands for.
+// endOfDialError returns the end of a push whose connection failed with the given error.
 func endOfDialError(err error) End {
 	for _, local := range localErrors {
 		if errors.Is(err, local) {
@@ -132,19 +137,19 @@
 	_ = c.conn.Close()
 }
 
-// closeWrite shuts down the write side, so that the endpoint sees that the call was abandoned. ReadLateRetryAfter can still
-// read a response that is on its way. A connection that cannot be half closed is closed.
+// closeWrite shuts down the write side of the connection, so that the endpoint can detect that the call was abandoned.
+// ReadLateRetryAfter can still read a response that is on its way. A connection that cannot be half closed is closed.
 func (c *Conn) closeWrite() {
 	if halfCloser, ok := c.conn.(interface{ CloseWrite() error }); !ok || halfCloser.CloseWrite() != nil {
 		c.Close()
 	}
 }
 
-// ReadLateRetryAfter waits for the late response to an abandoned call, closes the connection, and returns the Retry-After of
-// the response in seconds, 0 for none. The endpoint may write a response just as the call is abandoned, or this process may
-// have been suspended and find it too late. Such a response does not decide how the push ended, but its told wait applies
-// from then on, and the next call would violate it. A told wait is missed if the endpoint sees the half close only after
-// lateResponseTimeout and responds after that.
+// ReadLateRetryAfter waits up to lateResponseTimeout for the late response to an abandoned call, and returns its Retry-After
+// in seconds, 0 for none. It closes the connection. The endpoint may write a response just as the call is abandoned, or this
+// process may have been suspended and read it too late. Such a response does not change how the push ended, but its told
+// wait applies from then on, and without it the next call would violate that wait. A told wait is missed if the endpoint
+// detects the half close only after lateResponseTimeout and responds after that.
 func (c *Conn) ReadLateRetryAfter() float64 {
 	defer c.Close()
 	_ = c.conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
@@ -160,8 +165,8 @@
 }
 
 // exchange writes a request and reads its response until the deadline. It also reports whether the connection can carry
-// another call. A malformed or truncated response gives InvalidResponse whatever its head says, since the push may have run.
-// The exception is a call with a single message: it counts as delivered once its status line says 200.
+// another call. A malformed or truncated response gives InvalidResponse whatever its status code, since the push may have
+// run. The exception is a call with a single message: it counts as delivered once the status line with status 200 was read.
 func (c *Conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, single bool, deadline time.Time) (End, bool) {
 	if c.conn.SetDeadline(deadline) != nil {
 		return WriteFailed, false
@@ -201,7 +206,7 @@
 		err = c.readBody(resp)
 	}
 	if err == nil {
-		err = c.conn.SetDeadline(time.Time{}) // no deadline while idle: an expired one would make Alive report a closed connection
+		err = c.conn.SetDeadline(time.Time{}) // with an expired deadline, Alive would report false for the idle connection
 		return endOfResponse(resp), err == nil && !resp.ConnectionClose() && c.reader.Buffered() == 0
 	}
 	switch {
@@ -213,8 +218,8 @@
 	return InvalidResponse, false
 }
 
-// readBody reads the body of a response to its end. A chunked response ends with its trailer section: one that is truncated
-// before that is incomplete, and the body that fasthttp returns may be only a part of what the endpoint wrote.
+// readBody reads the body of a response to its end. A chunked response ends with its trailer section. fasthttp may return a
+// part of the body without an error if the response is truncated before that, so the trailer section is read as well.
 func (c *Conn) readBody(resp *fasthttp.Response) error {
 	chunked := resp.Header.ContentLength() == chunkedLength
 	if err := resp.ReadBody(c.reader, maxResponseBody); err != nil || !chunked {
@@ -223,9 +228,9 @@
 	return resp.Header.ReadTrailer(c.reader)
 }
 
-// awaitFirstByte waits for the first byte of a response. A byte found after the deadline counts as a timeout: a process that
-// was suspended cannot determine whether the response arrived in time, and the endpoint ignores one that it sent too late.
-// Taking it as delivered would settle a message that the endpoint does not consider settled. A process that is suspended
+// awaitFirstByte waits for the first byte of a response. A byte read after the deadline counts as a timeout: a process that
+// was suspended cannot determine whether the response arrived in time, and the endpoint disregards one that it sent too
+// late. Taking it as delivered would settle a message that the endpoint does not consider settled. A process that is suspended
 // often loses valid responses this way.
 func (c *Conn) awaitFirstByte(deadline time.Time) error {
 	if err := c.conn.SetDeadline(deadline); err != nil {
@@ -238,10 +243,9 @@
 	return err
 }
 
-// readHead reads the head of a response. All of the response has to arrive by the deadline of the call, but gets at least
-// minResponseRestTimeout and at most maxResponseRestTimeout from here, so that a response that never ends holds up neither a
-// slot nor the result of a message. An endpoint that takes longer between the
-// first and the last byte of its response gets InvalidResponse.
+// readHead reads the head of a response, and sets the deadline for the rest of the response: the deadline of the call, but at
+// least minResponseRestTimeout and at most maxResponseRestTimeout from now. A response that never ends thus delays neither
+// the release of a slot nor the result of a message. A response that is not complete by then counts as truncated.
 func (c *Conn) readHead(resp *fasthttp.Response, deadline time.Time) error {
 	now := time.Now()
 	restDeadline := now.Add(min(maxResponseRestTimeout, max(minResponseRestTimeout, deadline.Sub(now))))
@@ -252,7 +256,7 @@
 	return resp.Header.Read(c.reader)
 }
 
-// endOfResponse returns the end that the status code and headers of a complete response stand for.
+// endOfResponse returns the end of a call with a complete response, by its status code and headers.
 func endOfResponse(resp *fasthttp.Response) End {
 	switch resp.StatusCode() {
 	case fasthttp.StatusOK:
@@ -279,8 +283,9 @@
 	return InvalidResponse
 }
 
-// deadlineExceeded reports whether err means that the call's own deadline has passed. It is false for ETIMEDOUT, with which
-// the system gives up a connection, although Timeout reports true for that error too.
+// deadlineExceeded reports whether err means that the call's own deadline has passed. It is false for ETIMEDOUT, the error of
+// a connection that the system gave up, although the Timeout method of that error returns true as well.
 func deadlineExceeded(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
+// toDuration converts a number of seconds.
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/push/cuts_test.go
+++ b/push/cuts_test.go
@@ -96,7 +96,7 @@
 }
 
 // A response that counts as delivered for a batch must be complete for net/http as well.
-func FuzzAnswer(f *testing.F) {
+func FuzzBatchResponse(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1b\r\n[{\"id\":\"m0\",\"state\":\"done\"}]\r\n0\r\nX: 1\r\n\r\n")
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 27\r\nRetry-After: 1.5\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}]")
 	f.Add("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n\r\n")
--- a/push/end.go
+++ b/push/end.go
@@ -5,8 +5,8 @@
 // End says how a push, or the attempt to connect for it, ended.
 type End int
 
-// The ends up to InvalidResponse stand for responses of the endpoint. The later ones stand for failed connections and for
-// pushes that were not sent.
+// The ends of a push. Those up to InvalidResponse are the ends of pushes with a response. The later ones are those of pushes
+// without a response or a connection, and of pushes that were not sent.
 const (
 	Delivered         End = iota // 200: the push was processed
 	Failed                       // 500: the push failed at the endpoint
@@ -21,12 +21,12 @@
 	ConnectFailed                // the connection was refused, or failed in another way
 	ConnectTimeout               // the connection attempt timed out
 	WriteFailed                  // the connection broke before the request was written completely
-	ConnectionLost               // the connection broke or was closed after that and before the response
+	ConnectionLost               // the connection broke or was closed after the request was written and before the response
 	ResponseTimeout              // no response within the timeout
-	Cancelled                    // Close was called during the call
-	Withdrawn                    // not sent: an event since its decision forbids it, no time is left, or the call is full
+	Cancelled                    // Conn.Close was called during the call
+	Withdrawn                    // not sent: an event since it was placed forbids it, no time is left, or the call is full
 	LedgerFailed                 // not sent: its start could not be written to the ledger
-	NoSocket                     // not sent: a local error prevented the connection, such as no free file descriptor; it does not count against the endpoint
+	NoSocket                     // not sent: local error, such as no free file descriptor, that does not count against the endpoint
 )
 
 // endProperties holds for each end its name in logs, metrics and stored data, its decide.Result, and whether it is the final
@@ -60,13 +60,15 @@
 // String returns the name of the end as it appears in logs, metrics and stored data.
 func (e End) String() string { return endProperties[e].name }
 
-// Outcome returns the outcome that package decide records for a push that ended this way.
+// Outcome returns the outcome of a push that ended this way, as package decide takes it. Only the fields that follow from
+// the end are set.
 func (e End) Outcome() decide.Outcome {
-	return decide.Outcome{Result: endProperties[e].result, Final: endProperties[e].final, NoSlot: e == NoFreeSlot, TooManyConnections: e == ConnectionLimit,
-		Unsent: e == Withdrawn || e == NoSocket || e == LedgerFailed, NoMorePushes: e == AttemptsExhausted || e == Rejected}
+	return decide.Outcome{Result: endProperties[e].result, Final: endProperties[e].final, NoSlot: e == NoFreeSlot,
+		TooManyConnections: e == ConnectionLimit, Unsent: e == Withdrawn || e == NoSocket || e == LedgerFailed,
+		NoMorePushes: e == AttemptsExhausted || e == Rejected}
 }
 
-// MayHaveRun reports whether the push may have taken effect.
+// MayHaveRun reports whether the push may have taken effect at the endpoint.
 func (e End) MayHaveRun() bool {
 	switch endProperties[e].result {
 	case decide.Delivered, decide.Failed, decide.TimedOut, decide.Reset, decide.Cancelled:
