--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,13 +1,13 @@
-// Package directory holds the endpoints as last listed by the platform. It makes no decisions.
+// Package directory stores the endpoints as last listed by the platform. It makes no decisions.
 package directory
 
 import "slices"
 
-// Stages of a listed endpoint.
+// Stages of an endpoint, as the platform reports them.
 const (
-	Ready    = "ready"
-	Draining = "draining"
-	Gone     = "gone"
+	Ready    = "ready"    // takes pushes
+	Draining = "draining" // is leaving: no further push may be sent to it
+	Gone     = "gone"     // no longer exists; it is removed from the list
 )
 
 // Endpoint is an entry of the list.
@@ -21,9 +21,9 @@
 	Addr  string  // host and port; "" in the simulator
 }
 
-// Directory is a dispatcher's copy of the list.
+// Directory is a dispatcher's copy of the list. It is not safe for concurrent use.
 type Directory struct {
-	byDest              map[string][]Endpoint // in list order
+	byDest              map[string][]Endpoint // by destination; empty for a known destination without endpoints
 	positions           map[string]position   // by endpoint ID
 	Revision            int                   // number of applied updates and recorded failures
 	ConsecutiveFailures int                   // failed watches and fetches since the last successful update
@@ -40,8 +40,8 @@
 	return &Directory{byDest: map[string][]Endpoint{}, positions: map[string]position{}}
 }
 
-// Replace applies a full list: an endpoint that is not in it is gone. A destination that loses all its endpoints stays known
-// until the next full list, since its endpoints may be about to be replaced.
+// Replace applies a full list: endpoints that are not in it are removed. A destination that loses all its endpoints stays
+// known until the next full list, since its endpoints may be about to be replaced.
 func (d *Directory) Replace(list []Endpoint) {
 	previous := d.byDest
 	d.byDest, d.positions = map[string][]Endpoint{}, map[string]position{}
@@ -53,7 +53,8 @@
 	d.Apply(list)
 }
 
-// Apply applies an incremental update: the entries that changed.
+// Apply applies an incremental update, which consists of the entries that changed. An entry with stage Gone removes its
+// endpoint.
 func (d *Directory) Apply(list []Endpoint) {
 	d.Revision++
 	d.ConsecutiveFailures = 0
@@ -62,8 +63,8 @@
 	}
 }
 
-// KnownDest reports whether a destination is listed, or was until the last full list. It is true for any destination while
-// the directory is empty.
+// KnownDest reports whether a destination has listed endpoints, or has lost its last one in or since the latest full list.
+// It is true for any destination while no destination is known.
 func (d *Directory) KnownDest(dest string) bool {
 	_, ok := d.byDest[dest]
 	return ok || len(d.byDest) == 0
@@ -78,7 +79,8 @@
 	d.ConsecutiveFailures++
 }
 
-// Endpoints returns the listed endpoints of a destination, without those that are gone. The caller must not modify them.
+// Endpoints returns the listed endpoints of a destination, without those that are gone. The caller must not modify the
+// result or use it after the next update.
 func (d *Directory) Endpoints(dest string) []Endpoint { return d.byDest[dest] }
 
 // Find returns the listed entry of an endpoint of a destination, and whether there is one.
@@ -96,7 +98,7 @@
 		d.byDest[e.Dest][current.index] = e
 		return
 	}
-	if listed { // gone, or moved to another destination; the entry of a gone endpoint may lack its destination
+	if listed { // gone or moved to another destination; an entry with stage Gone may have no destination
 		d.remove(e.ID, current)
 	}
 	if e.Stage != Gone {
@@ -105,7 +107,7 @@
 	}
 }
 
-// remove removes an endpoint and shifts the positions of those after it.
+// remove removes an endpoint and updates the positions of those after it.
 func (d *Directory) remove(id string, p position) {
 	remaining := slices.Delete(slices.Clone(d.byDest[p.dest]), p.index, p.index+1)
 	for i, e := range remaining[p.index:] {
--- a/gateway/crossing_test.go
+++ b/gateway/crossing_test.go
@@ -17,8 +17,8 @@
 	"orchiddrift/push"
 )
 
-// Guards against confirming a duplicate that arrives before the record of the first message is written, if that write
-// fails: both are refused. Once the ledger can be written to again, the message is accepted.
+// Guards against confirming a duplicate that arrives before the record of its message is written, if that write fails:
+// both must be refused. Once the ledger can be written to again, both are accepted, and the message is pending once.
 func Example_duplicateWithFailedWrite() {
 	folder := faulty.New()
 	store, _, _, err := ledger.Open(folder, ledger.Options{Limit: 3e6})
@@ -56,9 +56,9 @@
 	// pending 1
 }
 
-// Guards against pushing after a start by the list of the previous process while discovery may have an update: an
-// endpoint that has been draining since must not be called. The wait ends at the given time or with a failure of
-// discovery.
+// Guards against pushing after a start according to the list of the previous process while discovery may have an update:
+// an endpoint that has become draining meanwhile must not be called. The wait for the first list ends with a response or
+// a failure of discovery, or at the given time.
 func Example_awaitFirstList() {
 	f := newFixture("A1")
 	f.gateway.AwaitFirstList(1000.5)
@@ -90,9 +90,9 @@
 	// 0.10  nothing scheduled
 }
 
-// Guards against sending a repeat after the endpoint has forgotten its idempotency key, because the write of its record
-// took too long. The first write takes 1.5 s, while the key is remembered for one more second. The connection need not
-// be new.
+// Guards against sending a repeat after the endpoint has discarded its idempotency key, because the write of its record
+// took too long. In the second case the write takes 1.5 s, while the key is kept for one more second. The failure does not
+// depend on a new connection.
 func Example_repeatAfterSlowWrite() {
 	for _, writeTime := range []float64{0, 1.5} {
 		requests := make(chan string, 9)
@@ -122,8 +122,8 @@
 	// sent false
 }
 
-// Without a descriptor for a new connection, idle connections are closed and the push is tried again. The endpoint is
-// not considered unhealthy.
+// If no socket can be opened, idle connections are closed and the push is tried again. This does not count as a failure of
+// the endpoint.
 func Example_noSocket() {
 	f := newFixture("A1", "B1")
 	f.submit("reading", "B1")
@@ -147,7 +147,8 @@
 }
 
 // Guards against refusing a message that the next process pushes: its record was written but neither synced nor
-// discarded, so that process reads it. The refusal has to wait until no process can read the record.
+// discarded, so that the next process reads it. The refusal has to wait until no process can read the record, or until the
+// message's TTL has ended.
 func TestRefusalWaitsForLedger(t *testing.T) {
 	for _, recovers := range []bool{true, false} {
 		folder := faulty.New()
--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -21,10 +21,11 @@
 type failingFolder struct {
 	disk.Folder
 	failWrites   atomic.Bool
-	failedWrites atomic.Int32 // count of failed writes
+	failedWrites atomic.Int32 // number of failed writes
 	blocked      sync.Mutex   // writes wait while it is locked
 }
 
+// failingFile is a file in a failingFolder.
 type failingFile struct {
 	disk.File
 	*failingFolder
@@ -45,10 +46,10 @@
 	return f.File.WriteAt(b, at)
 }
 
-// noticeRecorder is a platform that passes each notice on to a channel.
+// noticeRecorder is a platform that sends each notice to a channel and does not answer it.
 type noticeRecorder struct {
 	silentPlatform
-	sent chan string
+	sent chan string // message ID and outcome
 }
 
 func (n noticeRecorder) Notify(notice gateway.Notify, _ func(gateway.Event)) {
@@ -59,14 +60,15 @@
 type diskFixture struct {
 	*gateway.Runner
 	*failingFolder
-	folder   *faulty.Folder
-	addr     string
-	calls    chan string
-	statuses chan int
-	notices  chan string
-	stop     func()
+	folder   *faulty.Folder // the folder that failingFolder wraps
+	addr     string         // of the endpoint
+	calls    chan string    // message IDs of the calls that the endpoint received
+	statuses chan int       // statuses of its responses
+	notices  chan string    // message ID and outcome of each notice
+	stop     func()         // stops the Runner and waits for it
 }
 
+// newDiskFixture starts the Runner with a clock that shows 1000 s at start.
 func newDiskFixture(t *testing.T, start time.Time) *diskFixture {
 	t.Helper()
 	r := &diskFixture{folder: faulty.New(), calls: make(chan string, 99), statuses: make(chan int, 99),
@@ -112,6 +114,7 @@
 	return len(list)
 }
 
+// expectNext fails the test unless the next value from ch, within 5 s, is want.
 func expectNext[T comparable](t *testing.T, what string, ch <-chan T, want T) {
 	t.Helper()
 	select {
@@ -132,8 +135,8 @@
 	t.Run("overdue", noticeDueDuringDiskFailure)
 }
 
-// Guards against losing the end of a push because the disk failed as the message was delivered: it is written once the
-// disk recovers, and a restart finds no pending message.
+// Guards against losing the end of a push because the disk failed when the message was delivered: its record must be
+// written once the disk recovers, so that no message is pending after a restart.
 func deliveryDuringDiskFailure(t *testing.T) {
 	r := newDiskFixture(t, time.Now())
 	if !r.submit(1020) {
@@ -153,9 +156,9 @@
 	}
 }
 
-// Guards against a push after the final answer: a notice must not be sent before its record is written, as a later
-// process would push the message again. Once the TTL has ended the notice is sent without a record. Writes are retried
-// with a pause.
+// Guards against a push after the final answer: a notice must not be sent before its record is written, since a later
+// process would push the message again. Once the TTL has ended, the notice is sent without a record. There must be a pause
+// before each retry of the write.
 func noticeWaitsForLedger(t *testing.T) {
 	for expiresAt, sentWithoutRecord := range map[float64]bool{1020: false, 1001: true} {
 		r := newDiskFixture(t, time.Now())
@@ -183,7 +186,7 @@
 	}
 }
 
-// Guards against giving up an untried message because the disk fails for a second.
+// Guards against giving up a message without a push because the disk fails for a second.
 func pushAfterDiskFailure(t *testing.T) {
 	r := newDiskFixture(t, time.Now())
 	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 0.2})
@@ -201,8 +204,8 @@
 	}
 }
 
-// Guards against a late final answer of a message that is waiting for its turn: the pause after a failed write must
-// hold back pushes only.
+// Guards against a late final answer of a message that waits for its push: the pause after a failed write must hold back
+// pushes only.
 func noticeDueDuringDiskFailure(t *testing.T) {
 	r := newDiskFixture(t, time.Now())
 	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 9})
@@ -218,7 +221,8 @@
 	}
 }
 
-// Guards against ignoring events that arrive while a slow ledger write delays a push: here a told wait.
+// Guards against sending a push without regard to events that arrive during the slow ledger write before it: here a told
+// wait.
 func TestWaitDuringSlowWrite(t *testing.T) {
 	r := newDiskFixture(t, time.Now())
 	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 0.1})
@@ -236,7 +240,7 @@
 	}
 }
 
-// newStallFixture returns a fixture whose clock jump moves forward, as a stall of the process would.
+// newStallFixture returns a fixture and a function that moves its clock forward, as a stall of the process would.
 func newStallFixture(t *testing.T) (r *diskFixture, jump func(time.Duration)) {
 	var offset atomic.Int64
 	r = newDiskFixture(t, time.Now())
@@ -251,8 +255,8 @@
 	return r, func(by time.Duration) { offset.Store(int64(by)) }
 }
 
-// Guards against pushing right after a stall, before the news that arrived during the stall has been read. The loop was
-// idle, so only the clock reveals the stall.
+// Guards against pushing right after a stall, before the events that arrived during the stall are applied. The loop was
+// idle, so the stall shows only in the clock.
 func TestStallWhileIdle(t *testing.T) {
 	r, jump := newStallFixture(t)
 	time.Sleep(400 * time.Millisecond) // the loop is idle
@@ -267,10 +271,9 @@
 	}
 }
 
-// Guards against late final answers after a stall: a request read then may have waited in its socket for as long as its
-// client waits for the answer, so its TTL is counted from that time.
-//
-// Found by the soak test (seed 461055): sent 0.38 s before the dispatcher continued, answered 9 ms too late.
+// Guards against late final answers after a stall: a request read then may have waited in its socket for up to the time
+// that its client waits for the answer, so that much must be taken off its TTL. The soak test (seed 461055) found a request
+// sent 0.38 s before the dispatcher continued, whose final answer was 9 ms late.
 func TestStallShortensTTL(t *testing.T) {
 	r, jump := newStallFixture(t)
 	r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: r.addr, Dest: "A", Kind: "bulk"}, Wait: 9})
@@ -286,8 +289,8 @@
 	}
 }
 
-// Known failure (KNOWN-RED.txt): final answers are late by the duration of a ledger write, because the loop waits for
-// it. Each write takes a second here, and a notice is due within 0.3 s of the end of the TTL.
+// Known failure (KNOWN-RED.txt): final answers can be late by the duration of a ledger write, because the loop waits for
+// the write. Each write takes a second here, and a notice is due within 0.3 s of the end of the TTL.
 func TestSlowDiskFinalAnswers(t *testing.T) {
 	const write, due = time.Second, 300 * time.Millisecond
 	start := time.Now()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -14,15 +14,16 @@
 	"orchiddrift/push"
 )
 
-// fixture simulates the surroundings of a Gateway and prints its effects.
+// fixture applies events to a Gateway and prints its effects.
 type fixture struct {
 	gateway       *gateway.Gateway
-	now           float64
+	now           float64                  // current time, in seconds; 1000 at the start
 	callByMessage map[string]*gateway.Call // by message ID
 	listener      net.Listener             // accepts the connections to all endpoints
-	hasRoom       bool
+	hasRoom       bool                     // whether the ledger has room
 }
 
+// newFixture returns a fixture with the given endpoints listed as ready.
 func newFixture(endpoints ...string) *fixture {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,6 +47,7 @@
 	return f
 }
 
+// endpoint returns an endpoint of the destination that the first character of its ID names.
 func (f *fixture) endpoint(id, stage string) directory.Endpoint {
 	return directory.Endpoint{ID: id, Kind: "bulk", Dest: id[:1], Stage: stage, Rate: 10,
 		Addr: f.listener.Addr().String()}
@@ -63,9 +65,10 @@
 	}
 }
 
+// step applies an event and prints the effects.
 func (f *fixture) step(e gateway.Event) { f.print(f.gateway.Step(f.now, e)) }
 
-// placeDueAt sets the clock and places the messages that are due.
+// placeDueAt sets the clock to 1000 + now, places the messages that are due and prints the effects.
 func (f *fixture) placeDueAt(now float64) {
 	f.now = 1000 + now
 	effects, wait := f.gateway.PlaceDue(f.now)
@@ -81,14 +84,17 @@
 	f.step(gateway.Dialed{Call: f.callByMessage[id], Conn: conn, End: end})
 }
 
+// endCall ends the call that carries a message.
 func (f *fixture) endCall(id string, result push.CallResult) {
 	f.step(gateway.CallEnded{Call: f.callByMessage[id], Result: result})
 }
 
+// printf prints a line with the time since the start.
 func (f *fixture) printf(format string, args ...any) {
 	fmt.Printf("%.2f  %s\n", f.now-1000, fmt.Sprintf(format, args...))
 }
 
+// print prints effects, and stores the calls among them in callByMessage.
 func (f *fixture) print(effects []gateway.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -121,6 +127,7 @@
 	}
 }
 
+// messageIDs returns the IDs of the messages in a call, joined by "+".
 func messageIDs(c *gateway.Call) string {
 	var ids []string
 	for _, m := range c.Messages {
@@ -129,6 +136,7 @@
 	return strings.Join(ids, "+")
 }
 
+// describeRecords returns the kind, message ID and call number of each record.
 func describeRecords(records []ledger.Record) string {
 	names := []string{"", "accepted", "started", "not-run", "may-have-run", "notice", "completed"}
 	var texts []string
@@ -214,7 +222,8 @@
 	// A1 given_up, to A with 19.5 s left
 }
 
-// Guards against sending a call after a wait or a drain that was told while its connection was being established.
+// Guards against sending a call although a wait was told, or its endpoint listed as draining, while its connection was being
+// established.
 func Example_waitOrDrainDuringDial() {
 	f := newFixture("A", "B")
 	f.submit("reading", "A1", "A2", "A3")
@@ -244,8 +253,8 @@
 }
 
 // Guards against sending a repeat that the endpoint no longer recognizes, because its connection took a second to
-// establish. The message is handed back, and the connection is kept for the other message in the call. Found by the
-// fleet test.
+// establish. The message is handed back, and the other message in the call is sent on the connection. The fleet test found
+// this failure.
 func Example_repeatWindowEndsDuringDial() {
 	f := newFixture("A")
 	defer f.listener.Close()
@@ -274,7 +283,8 @@
 	// 5.60  nothing scheduled
 }
 
-// Two large messages do not fit into one call: the second is sent in the next round and uses up no push.
+// Two messages with large bodies do not fit into one call: the second is sent in the next round, and no push is counted
+// for its return.
 func Example_largeBodies() {
 	f := newFixture("A")
 	for _, id := range []string{"A1", "A2"} {
@@ -335,7 +345,8 @@
 	// 1.40  nothing scheduled
 }
 
-// On shutdown no push starts any more. Pushes in flight may end, and then the process may exit.
+// During shutdown no push starts any more and no message is accepted. The process may exit once the pushes in flight have
+// ended.
 func Example_shutdown() {
 	f := newFixture("A", "B")
 	f.submit("reading", "A1")
@@ -362,9 +373,9 @@
 	// 0.10  answer {Accepted:false RetryIn:0 Reason:stopping}
 }
 
-// Guards against losing the messages of a shared call by a response that comes after the first TTL has ended: an
-// endpoint that hung answered such a call as delivered. The budget of the call ends with the first TTL, not with the
-// longest wait.
+// Guards against losing the messages of a shared call through a response after the first of their TTLs has ended: an
+// endpoint that hung answered such a call as delivered. The budget of the call must end with the first TTL, not with the
+// longest timeout.
 func Example_sharedBudget() {
 	f := newFixture("A")
 	defer f.listener.Close()
@@ -407,7 +418,8 @@
 	// 1.00  close
 }
 
-// A once-only message is sent on a new connection after one has broken. An idle connection is closed for it.
+// A once-only message is sent on a new connection if a connection to its endpoint has broken before. An idle connection is
+// closed for it.
 func Example_newConnectionAfterBreak() {
 	f := newFixture("A")
 	defer f.listener.Close()
@@ -443,7 +455,7 @@
 	// 4.00  nothing scheduled
 }
 
-// Guards against pushing a message again that is submitted once more after its delivery: its ID is kept until its TTL
+// Guards against pushing a message again if it is submitted again after its delivery: its ID must be kept until its TTL
 // ends.
 func Example_duplicateAfterDelivery() {
 	f := newFixture("A")
@@ -467,8 +479,8 @@
 	// 21.00  accept A1
 }
 
-// A wait told by an endpoint that is a route of its own binds that route only, also while another one is being
-// connected.
+// A wait told by an endpoint that is a route of its own applies to that route only: a call to another route whose
+// connection is being established is still sent.
 func Example_waitOfSeparateRoute() {
 	f := newFixture()
 	for _, id := range []string{"A", "Ab"} {
--- a/gateway/late_test.go
+++ b/gateway/late_test.go
@@ -20,7 +20,7 @@
 	"orchiddrift/push"
 )
 
-// A wait told after its call was given up binds like any other, also for calls that already have their connection.
+// A wait told after its call was given up applies like any other, also to calls whose connection is being established.
 func Example_lateWait() {
 	f := newFixture("A1", "Ab")
 	f.submit("reading", "A1")
@@ -47,8 +47,8 @@
 	// 7.10  send A1+A2 to Ab within 4.00, write started A1 #2, started A2 #2
 }
 
-// Guards against placing messages before the events that are already queued are applied: here a told wait. When both are
-// ready, the order used to be random.
+// Guards against placing messages before the events that are already queued are applied: here a told wait. The select
+// statement of the loop takes a random one of the channels that are ready, so the test runs several times.
 func Example_eventsBeforeRound() {
 	sent := 0
 	for range 12 {
@@ -74,8 +74,8 @@
 	// sent 0
 }
 
-// A wait told after the call was given up, over TCP: the endpoint writes its response once it sees the connection
-// closed, and the next push is sent after the wait.
+// A wait told after the call was given up, over TCP: the endpoint writes its response once the connection is half closed,
+// and the next push must be sent after the wait.
 func Example_lateWaitOverTCP() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,7 +118,7 @@
 		fmt.Println("late wait not logged")
 	}
 	accepted := make(chan bool, 1)
-	for ok := false; !ok; { // retry while the first message still occupies the only room
+	for ok := false; !ok; { // retry while the first message still occupies the only place
 		next := newMessage(1020)
 		next.ID = "A2"
 		r.Post(gateway.Arrived{Message: next, Reply: func(reply gateway.Reply) { accepted <- reply.Accepted }})
@@ -138,7 +138,7 @@
 	// wait obeyed true
 }
 
-// logWatcher sends the time at which a line with a given text is logged.
+// logWatcher is a log writer that sends the time of each line that contains a text.
 type logWatcher struct {
 	text string
 	seen chan<- time.Time
@@ -152,7 +152,7 @@
 }
 
 // Guards against breaking the order of a key after a restart: a push of the previous process may still run although its
-// message is settled, so ordered keys are held for a while. Other messages do not wait.
+// message is settled, so messages with an ordered key must wait for the key cooldown. Other messages do not wait.
 func Example_keysHeldAfterRestart() {
 	f := newFixture("A", "B")
 	f.print(f.gateway.Restore(f.now, nil))
--- a/gateway/metrics_test.go
+++ b/gateway/metrics_test.go
@@ -7,7 +7,7 @@
 	"orchiddrift/push"
 )
 
-// Guards against allocations for each push, in the loop that serves all calls: a counter's name must not be built anew
+// Guards against allocations for each push in the loop that serves all calls, caused by building the name of the counter
 // each time.
 func TestCountingDoesNotAllocate(t *testing.T) {
 	m := NewMetrics()
--- a/gateway/run_test.go
+++ b/gateway/run_test.go
@@ -19,8 +19,8 @@
 	"orchiddrift/message"
 )
 
-// Guards against losing events that were queued before the process ends: messages whose notice was answered must not be
-// pending after the restart, whichever channel the loop reads first.
+// Guards against losing events that were queued when the process ends: a message whose notice was answered must not be
+// pending after the restart. The loop may see the stop before the event, so the test runs several times.
 func Example_drainEventsOnStop() {
 	pending := 0
 	for range 32 {
@@ -53,7 +53,7 @@
 }
 
 // Guards against sending an outdated budget: each write takes half a second here, and the writes before the push reduce
-// the budget. If nothing is left, nothing is sent.
+// the budget. If no time is left, the call is not sent.
 func Example_budgetWhenSent() {
 	for _, expiresAt := range []float64{1020, 1001.7} {
 		requests := make(chan string, 1)
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant checks at run time the guarantees that a dispatcher gives under any failure. The checks keep their
-// own state, separate from the state on which decisions are based. Each violation is counted by the name of the
-// invariant and logged with the notification's ID. The checks prevent nothing: a count above zero is a defect in the
-// code checked.
+// Package invariant checks at run time the invariants that a dispatcher guarantees under any failure. The checks keep
+// their own state, separate from the state on which decisions are based. Each violation is counted by the name of the
+// invariant and logged with the notification's ID. The checks prevent nothing: a count above zero shows a defect in the
+// checked code.
 package invariant
 
 import (
@@ -17,32 +17,44 @@
 
 // Names of the invariants.
 const (
-	SentAfterFinal    Name = "sent_after_final_answer"
+	// SentAfterFinal is a push of a notification that was not accepted or already has its final answer.
+	SentAfterFinal Name = "sent_after_final_answer"
+	// SentWhileInFlight is a push of a notification while another push of it is in flight.
 	SentWhileInFlight Name = "sent_while_out"
+	// SentOutsideWindow is a push after the end of the TTL, or one that repeats a push that may have run although no repeat
+	// is allowed any more.
 	SentOutsideWindow Name = "sent_outside_window"
-	SentToLeaving     Name = "sent_to_leaving_endpoint"
-	SentDuringWait    Name = "sent_during_told_wait"
-	SentOverRecovery  Name = "sent_over_recovery_budget"
-	SentOutOfOrder    Name = "sent_out_of_key_order"
-	SentBeforeList    Name = "sent_before_first_list"
-	ClosedUnanswered  Name = "closed_with_request_unanswered"
-	ReadAfterClose    Name = "read_after_close"
+	// SentToLeaving is a push to an endpoint that has been listed as leaving for longer than the grace.
+	SentToLeaving Name = "sent_to_leaving_endpoint"
+	// SentDuringWait is a push to a destination or route before its told wait has ended.
+	SentDuringWait Name = "sent_during_told_wait"
+	// SentOverRecovery is a call above the budget of a destination or route that recovers from an outage.
+	SentOverRecovery Name = "sent_over_recovery_budget"
+	// SentOutOfOrder is a push of a notification that is not the first of its key, or whose key is held for another one.
+	SentOutOfOrder Name = "sent_out_of_key_order"
+	// SentBeforeList is a push before the first response of discovery.
+	SentBeforeList Name = "sent_before_first_list"
+	// ClosedUnanswered is a client connection that the dispatcher closes although a request read from it has no response.
+	ClosedUnanswered Name = "closed_with_request_unanswered"
+	// ReadAfterClose is the reading of bytes from a client connection that is closed for reading.
+	ReadAfterClose Name = "read_after_close"
 )
 
 // All lists the invariants in the order of the metrics.
 var All = []Name{SentAfterFinal, SentWhileInFlight, SentOutsideWindow, SentToLeaving, SentDuringWait, SentOverRecovery,
 	SentOutOfOrder, SentBeforeList, ClosedUnanswered, ReadAfterClose}
 
-// Counters counts violations. The zero value counts them without logging; a nil Counters does neither.
+// Counters counts and logs violations. The zero value counts them without logging; a nil Counters does neither. It is safe
+// for concurrent use once Log and Strict are set.
 type Counters struct {
 	Log    zerolog.Logger
 	Strict bool // panic on each violation; for tests
 
 	mu     sync.Mutex
-	counts map[Name]int
+	counts map[Name]int // guarded by mu
 }
 
-// Report counts and logs a violation by a notification; id is empty if there is none.
+// Report counts and logs a violation. id is the ID of the notification concerned, or empty if there is none.
 func (c *Counters) Report(name Name, id, format string, args ...any) {
 	if c == nil {
 		return
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Each check reports the violation it is made for and no other. A dispatcher without violations is not reported.
+// Each case violates one invariant, and only that one must be counted. The first case violates none. The end of the test
+// covers pushes before the first list, and the output of Write.
 func TestSendChecker(t *testing.T) {
 	a := Target{Throttle: "A/", Endpoint: "A1"}
 	for _, c := range []struct {
@@ -54,7 +55,7 @@
 			s.CheckSend(1.9, "m", a)
 		}},
 		{SentOverRecovery, func(s *SendChecker) {
-			for range 12 { // 3 + 3 sqrt(3) + 3 is 11.2
+			for range 12 { // the budget for 3 calls is 3 + 3 sqrt(3) + 3, which is 11.2
 				s.CheckRecovery(1, "m", "A/", 3, 1.5)
 			}
 		}},
--- a/invariant/sends.go
+++ b/invariant/sends.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Rules are the limits on the pushes of a notification.
+// Rules are the limits on the pushes of a notification. Times and durations are in seconds.
 type Rules struct {
 	Deadline        float64 // end of its TTL
-	Window          float64 // how long after the first push that may have run a repeat is recognized; 0 for no limit
+	Window          float64 // a repeat is recognized for this long after the first push that may have run; 0 for no limit
 	OnceOnly        bool    // no further push is allowed after one that may have run
 	Key             string  // notifications with the same key are pushed one at a time, in the order accepted; "" for none
 	MayHaveRunSince float64 // time of the first push that may have run; 0 for none
@@ -14,7 +14,7 @@
 // Target is the target of a call.
 type Target struct {
 	Throttle string // scope of a told wait: the destination, or one of its routes
-	Endpoint string
+	Endpoint string // endpoint ID
 }
 
 // Margins are tolerances, in seconds.
@@ -23,51 +23,51 @@
 	KeyHold    float64 // a key is held for this long after a push that may still run
 }
 
-// SendChecker checks each call before it is sent. It is not safe for concurrent use. Times are in seconds of the
+// SendChecker checks each push before it is sent. It is not safe for concurrent use. Times are in seconds of the
 // dispatcher's clock. A nil SendChecker checks nothing.
 type SendChecker struct {
 	counters      *Counters
 	margins       Margins
-	open          map[string]*openNotification
-	finished      map[string]float64 // by notification ID: end of the TTL
-	keyQueues     map[string][]string
-	keyHolds      map[string]keyHold // by key
-	toldWaits     map[string]float64
-	leavingSince  map[string]float64 // by endpoint: time at which it was first listed as leaving
-	listWaitOver  bool
-	listWaitUntil float64
-	recoveryCalls map[string][]float64
-}
-
-// keyHold holds a key for a notification whose push may still run. Only that notification may be pushed again.
+	open          map[string]*openNotification // by notification ID
+	finished      map[string]float64           // by notification ID: end of the TTL
+	keyQueues     map[string][]string          // by key: IDs of the open notifications, in the order accepted
+	keyHolds      map[string]keyHold           // by key
+	toldWaits     map[string]float64           // by throttle: end of the told wait
+	leavingSince  map[string]float64           // by endpoint: time at which it was first listed as leaving
+	listWaitOver  bool                         // discovery has responded or failed
+	listWaitUntil float64                      // no push may be sent before this time unless listWaitOver is set
+	recoveryCalls map[string][]float64         // by throttle: times of recent calls during recovery
+}
+
+// keyHold blocks a key after a push that may still run. Until it ends, only the notification of that push may be pushed.
 type keyHold struct {
-	id    string
+	id    string // of that notification
 	until float64
 }
 
 // openNotification is a notification without a final answer.
 type openNotification struct {
 	Rules
-	inFlight bool
+	inFlight bool // a push of it is in flight
 }
 
-// NewSendChecker returns a SendChecker of a process that may send once ListWaitEnded is called, or from listWaitUntil
-// on.
+// NewSendChecker returns a SendChecker for a process that may send from listWaitUntil on, or earlier once ListWaitEnded is
+// called.
 func NewSendChecker(counters *Counters, margins Margins, listWaitUntil float64) *SendChecker {
 	return &SendChecker{counters: counters, margins: margins, listWaitUntil: listWaitUntil, open: map[string]*openNotification{},
 		finished: map[string]float64{}, keyQueues: map[string][]string{}, keyHolds: map[string]keyHold{},
 		toldWaits: map[string]float64{}, leavingSince: map[string]float64{}, recoveryCalls: map[string][]float64{}}
 }
 
-// Accepted records that a notification was accepted.
-func (s *SendChecker) Accepted(id string, r Rules) {
+// Accepted records that a notification was accepted, or was restored from the ledger.
+func (s *SendChecker) Accepted(id string, rules Rules) {
 	if s == nil {
 		return
 	}
 	delete(s.finished, id)
-	s.open[id] = &openNotification{Rules: r}
-	if r.Key != "" {
-		s.keyQueues[r.Key] = append(s.keyQueues[r.Key], id)
+	s.open[id] = &openNotification{Rules: rules}
+	if rules.Key != "" {
+		s.keyQueues[rules.Key] = append(s.keyQueues[rules.Key], id)
 	}
 }
 
@@ -83,6 +83,7 @@
 	delete(s.open, id)
 }
 
+// removeFromKey removes a notification from the queue of its key.
 func (s *SendChecker) removeFromKey(key, id string) {
 	queue := s.keyQueues[key][:0]
 	for _, queued := range s.keyQueues[key] {
@@ -95,7 +96,7 @@
 	}
 }
 
-// WaitTold records a wait told by an endpoint.
+// WaitTold records a wait told by an endpoint. The latest end of all waits told for a throttle applies.
 func (s *SendChecker) WaitTold(throttle string, until float64) {
 	if s != nil {
 		s.toldWaits[throttle] = max(s.toldWaits[throttle], until)
@@ -121,7 +122,7 @@
 	}
 }
 
-// CheckSend checks a push of a notification that is about to be sent.
+// CheckSend checks a push of a notification that is about to be sent, and records that it is in flight.
 func (s *SendChecker) CheckSend(now float64, id string, target Target) {
 	if s == nil {
 		return
@@ -187,8 +188,8 @@
 	}
 }
 
-// CheckRecovery checks a call to a destination or route that recovers from an outage. A single dispatcher must not send
-// more calls within span, in seconds, than the settings allow for all, plus a tolerance for random variation.
+// CheckRecovery checks a call to a destination or route that recovers from an outage. Within span seconds, a single
+// dispatcher must not send more calls than the settings allow for all dispatchers, plus a tolerance for random variation.
 func (s *SendChecker) CheckRecovery(now float64, id, throttle string, allowed, span float64) {
 	if s == nil {
 		return
@@ -207,8 +208,8 @@
 // fewCalls is the number of calls below which RecoveryBudget has a wider tolerance for random variation.
 const fewCalls = 30
 
-// RecoveryBudget returns the maximum number of calls that a destination in slow start may get where the settings allow
-// the given number: it adds a tolerance for random variation.
+// RecoveryBudget returns the maximum number of calls that may be sent to a destination or route in slow start where the
+// settings allow the given number: it adds a tolerance for random variation.
 func RecoveryBudget(calls float64) float64 {
 	if calls < fewCalls {
 		return calls + 3*math.Sqrt(calls) + 3
--- a/push/cuts_test.go
+++ b/push/cuts_test.go
@@ -15,7 +15,8 @@
 	"orchiddrift/message"
 )
 
-// scriptedConn is a connection that yields a response and then a read error: io.EOF for a FIN, ECONNRESET for a reset.
+// scriptedConn is a connection from which a response can be read, and then a read error: io.EOF for a FIN, ECONNRESET for a
+// reset.
 type scriptedConn struct {
 	net.Conn
 	response io.Reader
@@ -33,7 +34,7 @@
 	return 0, s.readErr
 }
 
-// resultOf sends a call with count messages over a connection that yields the response and then the read error.
+// resultOf returns the result of a call with count messages, sent over a scriptedConn with the response and the read error.
 func resultOf(response string, readErr error, count int) CallResult {
 	s := &scriptedConn{response: strings.NewReader(response), readErr: readErr}
 	c := &Conn{addr: "e1:80", conn: s, reader: bufio.NewReader(s), writer: bufio.NewWriter(&bytes.Buffer{})}
@@ -46,9 +47,10 @@
 	return c.Send(messages, 1)
 }
 
-// Truncates each kind of response at each byte, by a FIN and by a reset. A batch must count as delivered only if the response
-// is complete, including the last chunk, the trailer section and the final empty line. A single message counts as delivered
-// once a status line with 200 has arrived. A connection with a truncated response must not be reused.
+// Guards against taking a truncated response for a complete one: each kind of response is truncated after each byte, by a FIN
+// and by a reset. A batch must count as delivered only if the response is complete, including the last chunk, the trailer
+// section and the final empty line. A single message counts as delivered once a status line with status 200 has arrived. A
+// connection with a truncated response must not be reused.
 func TestTruncatedResponses(t *testing.T) {
 	const states = `[{"id":"m0","state":"done"},{"id":"m1","state":"done"}]`
 	sized := func(head string) string {
@@ -58,7 +60,7 @@
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
 	for name, test := range map[string]struct {
 		text            string
-		untilClose      bool // the response ends when the connection is closed
+		untilClose      bool // only the end of the connection ends the response
 		connectionClose bool // the response has Connection: close, or ends with the connection
 	}{
 		"length":       {text: sized("")},
@@ -84,10 +86,12 @@
 					single = Delivered
 				}
 				where := fmt.Sprintf("%s, %v after %q", name, readErr, test.text[:cut])
-				if result := resultOf(test.text[:cut], readErr, 2); result.Ends[0] != batch || result.Ends[1] != batch || result.Reusable != (complete && !test.connectionClose) {
+				if result := resultOf(test.text[:cut], readErr, 2); result.Ends[0] != batch || result.Ends[1] != batch ||
+					result.Reusable != (complete && !test.connectionClose) {
 					t.Errorf("%s: two messages: got %v, reusable %v, want %v", where, result.Ends, result.Reusable, batch)
 				}
-				if result := resultOf(test.text[:cut], readErr, 1); result.Ends[0] != single || result.Reusable != (complete && !test.connectionClose) {
+				if result := resultOf(test.text[:cut], readErr, 1); result.Ends[0] != single ||
+					result.Reusable != (complete && !test.connectionClose) {
 					t.Errorf("%s: one message: got %v, reusable %v, want %v", where, result.Ends, result.Reusable, single)
 				}
 			}
@@ -95,7 +99,8 @@
 	}
 }
 
-// A response that counts as delivered for a batch must be complete for net/http as well.
+// A response that counts as delivered for a message of a batch must be complete for net/http as well. No value read from a
+// response may be negative.
 func FuzzBatchResponse(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1b\r\n[{\"id\":\"m0\",\"state\":\"done\"}]\r\n0\r\nX: 1\r\n\r\n")
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 27\r\nRetry-After: 1.5\r\n\r\n[{\"id\":\"m0\",\"state\":\"done\"}]")
@@ -124,8 +129,8 @@
 	})
 }
 
-// A connection that the system gives up (ETIMEDOUT, EHOSTUNREACH) must end as ConnectionLost. Its error also reports Timeout, so
-// it can be mistaken for the expiry of the call's own deadline.
+// Guards against taking a connection that the system gave up for one on which the call's own deadline has passed: the Timeout
+// method of ETIMEDOUT returns true as well. Such a call must end as ConnectionLost, as with EHOSTUNREACH and ECONNRESET.
 func TestSystemTimeoutIsConnectionLost(t *testing.T) {
 	for _, errno := range []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		if result := resultOf("", errno, 1); result.Ends[0] != ConnectionLost || result.LateResponsePending {
--- a/push/late_test.go
+++ b/push/late_test.go
@@ -10,9 +10,9 @@
 	"orchiddrift/push"
 )
 
-// An endpoint may write its response just as the call is abandoned. Here the endpoint waits for the half close, so that this
-// always happens. The call ends as ResponseTimeout whatever the response says, but a Retry-After in it must be returned, even
-// if the rest of the response is missing.
+// Guards against missing a told wait in a response that the endpoint writes just as the call is abandoned. Here the endpoint
+// waits for the half close, so that this always happens. The call ends as ResponseTimeout whatever the response says, but a
+// complete Retry-After line in it must be returned, even if the rest of the response is missing.
 func Example_lateResponse() {
 	for _, response := range []string{
 		"HTTP/1.1 429 Too Many Requests\r\nretry-after: 2.5\r\nContent-Length: 0\r\n\r\n",
@@ -36,8 +36,8 @@
 	// [silent] true 0 true true
 }
 
-// startLateEndpoint starts an endpoint that writes its response only after the caller has shut down its write side. It sends to
-// sawEnd whether it saw that. It returns its address.
+// startLateEndpoint starts an endpoint that writes its response only after the caller has shut down its write side, and returns
+// its address. The endpoint sends to sawEnd whether it could read up to that end.
 func startLateEndpoint(response string, sawEnd chan<- bool) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/push/push_test.go
+++ b/push/push_test.go
@@ -13,8 +13,8 @@
 	"orchiddrift/push"
 )
 
-// startEndpoint starts an endpoint and returns its address. It answers the requests of each connection with the responses in
-// turn, then closes the connection. The response "hang" stands for no response.
+// startEndpoint starts an endpoint and returns its address. On each connection, the endpoint answers the requests with the
+// responses in turn and then closes the connection. The response "hang" stands for none: the connection is closed after 1 s.
 func startEndpoint(printRequests bool, responses ...string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,6 +32,7 @@
 	return ln.Addr().String()
 }
 
+// serveResponses answers the requests on a connection with the responses in turn.
 func serveResponses(conn net.Conn, printRequests bool, responses []string) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
@@ -53,12 +54,14 @@
 	}
 }
 
+// newMessage returns a message with a key and a body that contain its ID.
 func newMessage(id string) *message.Message {
 	m := &message.Message{IdempotencyKey: "k" + id, Body: []byte("hello " + id)}
 	m.ID = id
 	return m
 }
 
+// sendAndPrint sends a call on a new connection and prints its result, or why there is no connection.
 func sendAndPrint(addr string, timeout float64, messages ...*message.Message) {
 	conn, end := push.Dial(addr, 1)
 	if conn == nil {
@@ -120,16 +123,18 @@
 	// refused
 }
 
-// A single message is sent to /hook as it is. Several are sent to /hook/batch as a list, and each has its own end. Nothing is
-// sent twice.
+// A single message is sent to /hook as it is. Several are sent to /hook/batch as a list, and each has its own end. No call is
+// retried.
 func Example_calls() {
 	sendAndPrint(startEndpoint(true, "HTTP/1.1 200 OK\nContent-Length: 0\n\n"), 1.5, newMessage("a"))
 	states := `[{"id":"c","state":"busy"},{"id":"a","state":"done"},{"id":"b","state":"failed"},` +
 		`{"id":"d","state":"void"},{"id":"e","state":"used_up"},{"id":"f","state":"odd"}]`
 	head := fmt.Sprintf("HTTP/1.1 200 OK\nRetry-After: 0.3\nContent-Length: %d\n\n", len(states))
-	messages := []*message.Message{newMessage("a"), newMessage("b"), newMessage("c"), newMessage("d"), newMessage("e"), newMessage("f"), newMessage("g")}
+	messages := []*message.Message{newMessage("a"), newMessage("b"), newMessage("c"), newMessage("d"), newMessage("e"),
+		newMessage("f"), newMessage("g")}
 	sendAndPrint(startEndpoint(true, head+states), 1.5, messages...)
-	sendAndPrint(startEndpoint(false, "HTTP/1.1 503 Service Unavailable\nContent-Length: 0\n\n"), 1.5, newMessage("a"), newMessage("b"))
+	sendAndPrint(startEndpoint(false, "HTTP/1.1 503 Service Unavailable\nContent-Length: 0\n\n"), 1.5,
+		newMessage("a"), newMessage("b"))
 	sendAndPrint(startEndpoint(true, ""), 1.5, newMessage("a"))
 	// Output:
 	// POST /hook a ka 1500m hello a
@@ -163,9 +168,9 @@
 	// [cut off]
 }
 
-// Malformed responses on connections that stay open. A single message counts as delivered if the status line says 200. Else the
-// push may have run, whatever the head says. No such response may hold up the call until its deadline. Bytes after a complete
-// response make its connection unusable.
+// Malformed responses on connections that stay open. A single message counts as delivered if the status line has status 200.
+// Otherwise the push may have run, whatever the status. No such response may delay the result of a call until its deadline. A
+// connection with bytes after a complete response must not be reused.
 func Example_malformedResponses() {
 	start := time.Now()
 	for _, response := range []string{
--- a/push/stall_test.go
+++ b/push/stall_test.go
@@ -21,8 +21,8 @@
 	return copy(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), nil
 }
 
-// A process that was suspended past the deadline of a call cannot determine whether the response arrived in time. The call must
-// end as ResponseTimeout.
+// Guards against taking a response as delivered that was read after the deadline of the call, because the process was
+// suspended: it cannot determine whether the response arrived in time. The call must end as ResponseTimeout.
 func Example_stalledProcess() {
 	s := &stalledConn{}
 	c := &Conn{addr: "e1:80", conn: s, reader: bufio.NewReader(s), writer: bufio.NewWriter(&bytes.Buffer{})}
