--- a/directory/directory.go
+++ b/directory/directory.go
@@ -6,7 +6,7 @@
 // Stages of an endpoint, as the platform reports them.
 const (
 	Ready    = "ready"    // takes pushes
-	Draining = "draining" // is leaving: no further push may be sent to it
+	Draining = "draining" // is being drained: no further push may be sent to it
 	Gone     = "gone"     // no longer exists; it is removed from the list
 )
 
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -83,7 +83,7 @@
 	LedgerFull   Refusal = "ledger full"   // the ledger's folder has no room for the message
 	LedgerFailed Refusal = "ledger failed" // the message could not be written to the ledger
 	ShuttingDown Refusal = "stopping"      // the process is shutting down
-	NotPlaceable Refusal = "not placeable" // the scheduler has no room for the message or does not know its destination
+	NotPlaceable Refusal = "not placeable" // the scheduler has no room for the message, or its destination is unknown
 )
 
 // Effect is an output of Gateway: Accept, Answer, WriteRecords, Dial, SendCall, CloseConn, Notify, Watch or Fetch.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,7 +24,8 @@
 )
 
 // Gateway holds the accepted messages that are not settled yet, and the calls and connections that serve them. A
-// message is settled once it was delivered or its notice was answered. A Gateway is not safe for concurrent use.
+// message is settled once it was delivered, its endpoint reported that it already has its final answer, or its notice was
+// answered. A Gateway is not safe for concurrent use.
 type Gateway struct {
 	scheduler      *decide.Scheduler
 	directory      *directory.Directory
@@ -34,7 +35,7 @@
 	dialTimeout    float64                    // maximum time to establish a connection
 	pending        map[string]*pendingMessage // by message ID
 	idleConns      map[string][]*push.Conn    // by endpoint ID, most recently used last
-	lastToldWait   map[throttleKey]float64    // time at which a wait was last told
+	lastToldWait   map[throttleKey]float64    // by scope: time at which a wait was last told
 	settled        map[string]float64         // by ID of a settled message: end of its TTL
 	formingCalls   []*Call                    // calls of the current round
 	overflowCalls  []*Call                    // calls for messages whose bodies did not fit into formingCalls
--- a/gateway/write.go
+++ b/gateway/write.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// diskRetryPause is the pause of all pushes, in seconds, after a failed write, and the interval of the retries.
+	// diskRetryPause is the pause of all pushes, in seconds, after a failed write, and the maximum interval of the
+	// retries.
 	diskRetryPause = 0.05
 	// slowWriteThreshold is the duration of a write, in seconds, above which the events queued meanwhile are applied
 	// before the effects are carried out. Otherwise a drain or a told wait among them would be applied only after the
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -8,7 +8,7 @@
 // Each case violates one invariant, and only that one must be counted. The first case violates none. The end of the test
 // covers pushes before the first list, and the output of Write.
 func TestSendChecker(t *testing.T) {
-	a := Target{Throttle: "A/", Endpoint: "A1"}
+	target := Target{Throttle: "A/", Endpoint: "A1"}
 	for _, c := range []struct {
 		name Name
 		do   func(s *SendChecker)
@@ -18,41 +18,45 @@
 			s.Accepted("n", Rules{Deadline: 20, Key: "k"})
 			s.WaitTold("A/", 1)
 			s.EndpointListed(0, "A2", false)
-			s.CheckSend(1, "m", a)
+			s.CheckSend(1, "m", target)
 			s.PushEnded(1.1, 1, "m", true, true)
-			s.CheckSend(3.9, "m", a)
+			s.CheckSend(3.9, "m", target)
 			s.PushEnded(3.95, 3.9, "m", true, false)
 			s.Finished("m")
-			s.CheckSend(4, "n", a)
+			s.CheckSend(4, "n", target)
 			s.CheckRecovery(4, "n", "A/", 3, 1.5)
 		}},
-		{SentAfterFinal, func(s *SendChecker) { s.Accepted("m", Rules{Deadline: 9}); s.Finished("m"); s.CheckSend(1, "m", a) }},
-		{SentAfterFinal, func(s *SendChecker) { s.CheckSend(1, "m", a) }},
+		{SentAfterFinal, func(s *SendChecker) {
+			s.Accepted("m", Rules{Deadline: 9})
+			s.Finished("m")
+			s.CheckSend(1, "m", target)
+		}},
+		{SentAfterFinal, func(s *SendChecker) { s.CheckSend(1, "m", target) }},
 		{SentWhileInFlight, func(s *SendChecker) {
 			s.Accepted("m", Rules{Deadline: 9})
-			s.CheckSend(1, "m", a)
-			s.CheckSend(2, "m", a)
+			s.CheckSend(1, "m", target)
+			s.CheckSend(2, "m", target)
 		}},
-		{SentOutsideWindow, func(s *SendChecker) { s.Accepted("m", Rules{Deadline: 9}); s.CheckSend(9.1, "m", a) }},
+		{SentOutsideWindow, func(s *SendChecker) { s.Accepted("m", Rules{Deadline: 9}); s.CheckSend(9.1, "m", target) }},
 		{SentOutsideWindow, func(s *SendChecker) {
 			s.Accepted("m", Rules{Deadline: 9, Window: 3, MayHaveRunSince: 1})
-			s.CheckSend(4.1, "m", a)
+			s.CheckSend(4.1, "m", target)
 		}},
 		{SentOutsideWindow, func(s *SendChecker) {
 			s.Accepted("m", Rules{Deadline: 9, OnceOnly: true})
-			s.CheckSend(1, "m", a)
+			s.CheckSend(1, "m", target)
 			s.PushEnded(2, 1, "m", true, true)
-			s.CheckSend(3, "m", a)
+			s.CheckSend(3, "m", target)
 		}},
 		{SentToLeaving, func(s *SendChecker) {
 			s.Accepted("m", Rules{Deadline: 9})
 			s.EndpointListed(1, "A1", false)
-			s.CheckSend(1.6, "m", a)
+			s.CheckSend(1.6, "m", target)
 		}},
 		{SentDuringWait, func(s *SendChecker) {
 			s.Accepted("m", Rules{Deadline: 9})
 			s.WaitTold("A/", 2)
-			s.CheckSend(1.9, "m", a)
+			s.CheckSend(1.9, "m", target)
 		}},
 		{SentOverRecovery, func(s *SendChecker) {
 			for range 12 { // the budget for 3 calls is 3 + 3 sqrt(3) + 3, which is 11.2
@@ -62,15 +66,15 @@
 		{SentOutOfOrder, func(s *SendChecker) {
 			s.Accepted("m", Rules{Deadline: 9, Key: "k"})
 			s.Accepted("n", Rules{Deadline: 9, Key: "k"})
-			s.CheckSend(1, "n", a)
+			s.CheckSend(1, "n", target)
 		}},
 		{SentOutOfOrder, func(s *SendChecker) {
 			s.Accepted("m", Rules{Deadline: 9, Key: "k"})
 			s.Accepted("n", Rules{Deadline: 9, Key: "k"})
-			s.CheckSend(1, "m", a)
+			s.CheckSend(1, "m", target)
 			s.PushEnded(2, 1, "m", true, true)
 			s.Finished("m")
-			s.CheckSend(2.4, "n", a)
+			s.CheckSend(2.4, "n", target)
 		}},
 	} {
 		counters := &Counters{}
@@ -85,7 +89,7 @@
 	counters := &Counters{}
 	s := NewSendChecker(counters, Margins{}, 5)
 	s.Accepted("m", Rules{Deadline: 9})
-	s.CheckSend(4, "m", a)
+	s.CheckSend(4, "m", target)
 	var text strings.Builder
 	if err := counters.Write(&text); err != nil || !strings.Contains(text.String(), `{invariant="sent_before_first_list"} 1`) {
 		t.Errorf("Write: %v, output %q", err, text.String())
--- a/push/call.go
+++ b/push/call.go
@@ -63,8 +63,8 @@
 	timeout = math.Floor(timeout*1000) / 1000 // as X-Budget announces it; the endpoint disregards a response that it sent later
 	encodeRequest(req, c.addr, messages, timeout)
 	end, reusable := c.exchange(req, resp, len(messages) == 1, time.Now().Add(toDuration(timeout)))
-	late := end == ResponseTimeout || end == InvalidResponse && !reusable
-	if late {
+	abandoned := end == ResponseTimeout || end == InvalidResponse && !reusable
+	if abandoned {
 		c.closeWrite()
 	} else if !reusable {
 		c.Close()
@@ -73,7 +73,7 @@
 		end = BatchRejected
 	}
 	result := UniformResult(len(messages), end)
-	if result.LateResponsePending = late; end == InvalidResponse {
+	if result.LateResponsePending = abandoned; end == InvalidResponse {
 		result.RawPrefix = c.rawPrefix()
 	}
 	if end > InvalidResponse {
--- a/push/conn.go
+++ b/push/conn.go
@@ -167,7 +167,7 @@
 // exchange writes a request and reads its response until the deadline. It also reports whether the connection can carry
 // another call. A malformed or truncated response gives InvalidResponse whatever its status code, since the push may have
 // run. The exception is a call with a single message: it counts as delivered once the status line with status 200 was read.
-func (c *Conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, single bool, deadline time.Time) (End, bool) {
+func (c *Conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, singleMessage bool, deadline time.Time) (End, bool) {
 	if c.conn.SetDeadline(deadline) != nil {
 		return WriteFailed, false
 	}
@@ -210,7 +210,7 @@
 		return endOfResponse(resp), err == nil && !resp.ConnectionClose() && c.reader.Buffered() == 0
 	}
 	switch {
-	case single && statusOK:
+	case singleMessage && statusOK:
 		return Delivered, false
 	case c.closed.Load():
 		return Cancelled, false
--- a/push/end.go
+++ b/push/end.go
@@ -10,7 +10,7 @@
 const (
 	Delivered         End = iota // 200: the push was processed
 	Failed                       // 500: the push failed at the endpoint
-	Throttled                    // 429 or 503: turned away unprocessed, possibly with Retry-After
+	Throttled                    // 429 or 503: not processed, possibly with Retry-After
 	ConnectionLimit              // 503 with Connection: close and no Retry-After: the endpoint accepts no more connections
 	NoFreeSlot                   // 503 with X-Over-Slots: not processed, since no slot was free
 	AlreadySettled               // 410: not processed, since the message already has its final answer
