--- a/cmd/orchiddrift/ledger.go
+++ b/cmd/orchiddrift/ledger.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return ledger.Report{}, nil, err
 		}
-		l, pending, report, err := ledger.Open(folder, ledger.Options{Limit: int(diskMB * 1e6), ReadOnly: true})
+		l, pending, report, err := ledger.Open(folder, ledger.Options{LimitBytes: int(diskMB * 1e6), ReadOnly: true})
 		if err != nil {
 			return report, nil, err
 		}
@@ -59,7 +59,7 @@
 					return asFailure(err)
 				}
 				defer folder.Close()
-				l, _, _, err := ledger.Open(folder, ledger.Options{Limit: int(diskMB * 1e6)})
+				l, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: int(diskMB * 1e6)})
 				if err != nil {
 					return asFailure(err)
 				}
@@ -103,9 +103,9 @@
 func newPendingEntry(pending ledger.Pending) pendingEntry {
 	message := pending.Message
 	entry := pendingEntry{ID: message.ID, Topic: message.Topic, Dest: message.Dest, Pushes: message.Pushes,
-		State: pending.State().String(), MayHaveRun: message.RanAt > 0, Until: message.ExpiresAt}
-	if message.RanAt > 0 {
-		entry.Ran = &callEntry{Call: message.RanCall, At: message.RanAt, To: message.RanTo, Zone: message.RanZone}
+		State: pending.State().String(), MayHaveRun: message.FirstRunAt > 0, Until: message.ExpiresAt}
+	if message.FirstRunAt > 0 {
+		entry.Ran = &callEntry{Call: message.FirstRunCall, At: message.FirstRunAt, To: message.FirstRunEndpoint, Zone: message.FirstRunZone}
 	}
 	if pending.LastCall.End != ledger.EndNone {
 		entry.Last = &callEntry{Call: pending.LastCall.Number, At: pending.LastCall.StartedAt, To: pending.LastCall.Endpoint, End: string(pending.LastCall.End)}
--- a/cmd/orchiddrift/soak.go
+++ b/cmd/orchiddrift/soak.go
@@ -84,7 +84,7 @@
 		if keepDir != "" {
 			keepDir = filepath.Join(keepDir, fmt.Sprint("seed-", seed))
 		}
-		result, err := soak.Run(ctx, seed, f.loadDuration.Seconds(), soak.Options{Command: command, KeepDir: keepDir, StepClocks: f.stepClocks})
+		result, err := soak.Run(ctx, seed, f.loadDuration.Seconds(), soak.Options{Command: command, KeepDir: keepDir, OffsetClocks: f.stepClocks})
 		if err != nil {
 			return asFailure(err)
 		}
@@ -93,7 +93,7 @@
 		}
 		overlaps.Add(result.Overlaps)
 		fmt.Fprintf(out, "seed %d: %d dispatchers, %d endpoints, crowded %v, %d troubles, %d misbehaving clients, %d accepted, %d delivered, %d findings\n",
-			seed, result.DispatcherCount, result.EndpointCount, result.Flooded, len(result.Troubles), result.MisbehavingClients, result.Totals.Accepted, result.Totals.Delivered, len(result.Findings))
+			seed, result.DispatcherCount, result.EndpointCount, result.HasFloods, len(result.Troubles), result.CheckedVisits, result.Totals.Accepted, result.Totals.Delivered, len(result.Findings))
 		if f.printTroubles {
 			for _, trouble := range result.Troubles {
 				fmt.Fprintln(out, "   ", trouble)
--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -108,7 +108,7 @@
 			Key: line.Optional(3), TimeLeft: event.seconds(4, "left-ms"), Dest: event.text(6, "addressee-no")}
 		event.float(5, "hint-ms")
 		event.int(7, "attrs")
-		if _, known := inst.scheduler.TTL(ntf.Topic); event.err == nil && !known {
+		if _, known := inst.scheduler.TopicTTL(ntf.Topic); event.err == nil && !known {
 			event.err = line.FieldError("grade", ntf.Topic)
 		}
 		if event.err != nil {
@@ -122,7 +122,7 @@
 		outcome := decide.Outcome{NotificationID: event.text(0, "corr"), Final: event.bool(1, "complete"), Result: parseResult(event, 2),
 			Endpoint: event.text(4, "endpoint"), PushNumber: int(event.int(5, "go")), Latency: event.seconds(6, "latency-ms")}
 		if outcome.Result == decide.Throttled {
-			outcome.Wait = float64(waitMS) / 1000
+			outcome.ToldWait = float64(waitMS) / 1000
 		}
 		outcome.NoSlot = outcome.Result == decide.NotAttempted && waitMS == 1
 		_, outcome.LimitReported = report["x0"]
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -27,12 +27,12 @@
 				s := New(1, dir,
 					[]Topic{{Name: "t", Repeat: Collapsible, DedupWindow: 5, DedupScope: "all", Objective: 2, TTL: 1e6, Benefit: 1}},
 					Capacity{MaxCalls: 0, MaxHeld: 1000}, Routes{},
-					Recovery{InitialCapacity: .2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 300},
+					Recovery{InitialCapacityShare: .2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 300},
 					PushPolicy{MaxPushes: 8, Tick: .005}, TenantQuotas{}, false)
 				s.capacity.MaxCalls = 1000
 				for i := range 50 {
 					s.Place(1000, Notification{ID: fmt.Sprint(i), Topic: "t", Dest: fmt.Sprint(i % 10), TimeLeft: 1e6, Restored: true,
-						RanAt: 999, RanTo: "s-0"})
+						FirstRunAt: 999, FirstRunEndpoint: "s-0"})
 				}
 				for _, e := range benchEndpoints(n, dests) {
 					s.throttle(e).blockedUntil = 1e9
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -124,9 +124,9 @@
 		if ntf.LastPushFailed {
 			s.slowStartAfterRestart(now, ntf)
 		}
-		if ntf.RanAt > 0 { // sent before a restart: it may still run
-			h.mayHaveRunAt, h.mayHaveRunZone, h.keyBlockedUntil = ntf.RanAt,
-				cmp.Or(ntf.RanZone, s.listedZone(ntf.Dest, ntf.RanTo)), now+s.policy.KeyCooldown
+		if ntf.FirstRunAt > 0 { // sent before a restart: it may still run
+			h.mayHaveRunAt, h.mayHaveRunZone, h.keyBlockedUntil = ntf.FirstRunAt,
+				cmp.Or(ntf.FirstRunZone, s.listedZone(ntf.Dest, ntf.FirstRunEndpoint)), now+s.policy.KeyCooldown
 		}
 		s.held[h.ID] = h
 		if isFirstTry {
@@ -192,7 +192,7 @@
 	h := s.held[outcome.NotificationID]
 	if entry, ok := s.dir.Find(outcome.Dest, outcome.Endpoint); ok { // a wait that was told after the push had ended
 		t := s.throttle(entry)
-		t.blockedUntil = max(t.blockedUntil, now+outcome.Wait)
+		t.blockedUntil = max(t.blockedUntil, now+outcome.ToldWait)
 	}
 	if h == nil {
 		return Decision{}
@@ -207,8 +207,8 @@
 	c := h.call
 	h.call = nil
 	if c != nil {
-		if outcome.Wait > 0 { // a wait applies whatever the rest of the answer says
-			c.throttle.blockedUntil = max(c.throttle.blockedUntil, now+outcome.Wait)
+		if outcome.ToldWait > 0 { // a wait applies whatever the rest of the answer says
+			c.throttle.blockedUntil = max(c.throttle.blockedUntil, now+outcome.ToldWait)
 		}
 		if c.pending--; c.pending == 0 {
 			c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(x *call) bool { return x == c })
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -116,7 +116,7 @@
 	h := newHarness(8, 40, "A", "Ab")
 	h.submit("reading", "A1", "A2")
 	h.runAt(0)
-	h.finish("A", decide.Outcome{Result: decide.Throttled, Wait: 1.5}, "A1")
+	h.finish("A", decide.Outcome{Result: decide.Throttled, ToldWait: 1.5}, "A1")
 	h.submit("reading", "A3")
 	h.runAt(0.1)
 	h.finish("Ab", throttled, "A2")
@@ -283,7 +283,7 @@
 	h.setEndpoint("Ab", "apart", directory.Ready)
 	h.submit("reading", "A1")
 	h.runAt(0)
-	h.finish("A", decide.Outcome{Result: decide.Throttled, Wait: 5}, "A1")
+	h.finish("A", decide.Outcome{Result: decide.Throttled, ToldWait: 5}, "A1")
 	h.runAt(0.1)
 	// Output:
 	// 0.00  push A1 to A
@@ -426,7 +426,7 @@
 	}{{"apart", 1, 0}, {"apart", 2, 0}, {"both", 1, 0}, {"apart", 1, 1.5}} {
 		h := newHarnessWith(func(dep *deployment) {
 			dep.recovery.Dispatchers, dep.recovery.RatesUnlisted = 200, true
-			dep.capacity.BatchSize["both"], dep.routes.SeparateByKind = 10, map[string]bool{"apart": true, "both": true}
+			dep.capacity.BatchSize["both"], dep.routes.SeparateKinds = 10, map[string]bool{"apart": true, "both": true}
 		}, 12, 60)
 		h.setEndpoint("A", tc.kind, directory.Ready)
 		h.submit("reading", "A1", "A2", "A3", "A4")
@@ -436,7 +436,7 @@
 		if tc.routes > 1 {
 			h.setEndpoint("Ab", tc.kind, directory.Ready)
 			h.runAt(tc.lasts)
-			h.finish("Ab", decide.Outcome{Result: decide.Throttled, Wait: 60}, "A1", "A2", "A3", "A4")
+			h.finish("Ab", decide.Outcome{Result: decide.Throttled, ToldWait: 60}, "A1", "A2", "A3", "A4")
 		}
 		h.runAt(tc.lasts + 1)
 		h.printWait()
@@ -477,8 +477,8 @@
 	}
 	h.submit("reading", "A1", "A2")
 	h.runAt(0)
-	h.finish("A", decide.Outcome{Result: decide.Throttled, Wait: 1.9}, "A1")
-	h.finish("Ab", decide.Outcome{Result: decide.Throttled, Wait: 1.4}, "A2")
+	h.finish("A", decide.Outcome{Result: decide.Throttled, ToldWait: 1.9}, "A1")
+	h.finish("Ab", decide.Outcome{Result: decide.Throttled, ToldWait: 1.4}, "A2")
 	fmt.Printf("%.1f\n", h.scheduler.Place(h.now, decide.Notification{ID: "A3", Topic: "reading", Dest: "A", TimeLeft: 20}).RetryIn)
 	// Output:
 	// 0.00  push A1 to A
@@ -584,7 +584,7 @@
 		h.submit("reading", "A1", "A2")
 		h.runAt(0)
 		otherRefusal := refusal(0, 10)
-		otherRefusal.Wait = 60
+		otherRefusal.ToldWait = 60
 		h.finish("A", refusal(tc.share, tc.limit), "A1")
 		h.finish("Ab", otherRefusal, "A2")
 		h.runAt(1.1)
@@ -905,10 +905,10 @@
 	h := newHarness(6, 1, "A", "B", "C", "D")
 	h.restore("order", "A1", decide.Notification{NoticePending: true})
 	h.restore("order", "A1'", decide.Notification{})
-	h.restore("reading", "B1", decide.Notification{Pushes: 7, RanAt: 98, RanTo: "B"})
-	h.restore("order", "C2", decide.Notification{Pushes: 1, RanAt: 98, RanTo: "C"})
+	h.restore("reading", "B1", decide.Notification{Pushes: 7, FirstRunAt: 98, FirstRunEndpoint: "B"})
+	h.restore("order", "C2", decide.Notification{Pushes: 1, FirstRunAt: 98, FirstRunEndpoint: "C"})
 	h.restore("order", "C2'", decide.Notification{})
-	h.restore("tally", "D1", decide.Notification{Pushes: 1, RanAt: 94, RanTo: "D"})
+	h.restore("tally", "D1", decide.Notification{Pushes: 1, FirstRunAt: 94, FirstRunEndpoint: "D"})
 	h.runAt(0)
 	h.runAt(0.2)
 	h.finish("B", failed, "B1")
@@ -983,7 +983,7 @@
 	h := newHarness(6, 40, "A")
 	h.submit("reading", "A1")
 	h.runAt(0)
-	h.finish("A", decide.Outcome{Result: decide.Delivered, Wait: 0.7}, "A1")
+	h.finish("A", decide.Outcome{Result: decide.Delivered, ToldWait: 0.7}, "A1")
 	h.submit("reading", "A2")
 	h.runAt(0.1)
 	h.printWait()
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -213,7 +213,7 @@
 				sawOutageCalls++
 			}
 		}
-		capacity := f.recovery.InitialCapacity + (1-f.recovery.InitialCapacity)*math.Min(1, (first.at-returnsAt)/f.recovery.WarmUp)
+		capacity := f.recovery.InitialCapacityShare + (1-f.recovery.InitialCapacityShare)*math.Min(1, (first.at-returnsAt)/f.recovery.WarmUp)
 		budget := f.recovery.OverloadFactor * capacity * f.rate * f.recovery.OverloadSpan
 		if excess := float64(j-i) - budget - chanceMargin(budget); excess > worstExcess && 3*sawOutageCalls > 2*(j-i) {
 			worstExcess, calls, allowed, at = excess, j-i, budget, first.at-returnsAt
@@ -228,10 +228,10 @@
 // recoveryTerms are the recovery settings of three deployments, each with the rate of one destination, and for the first
 // deployment also with that of a second.
 var recoveryTerms = []fleetScenario{
-	{rate: 3, recovery: decide.Recovery{InitialCapacity: 0.22, WarmUp: 12, OverloadFactor: 2, OverloadSpan: 1.5}},
-	{rate: 8, recovery: decide.Recovery{InitialCapacity: 0.22, WarmUp: 12, OverloadFactor: 2, OverloadSpan: 1.5}},
-	{rate: 6, recovery: decide.Recovery{InitialCapacity: 0.2, WarmUp: 11, OverloadFactor: 2, OverloadSpan: 3}},
-	{rate: 20, recovery: decide.Recovery{InitialCapacity: 0.3, WarmUp: 8, OverloadFactor: 2, OverloadSpan: 1}},
+	{rate: 3, recovery: decide.Recovery{InitialCapacityShare: 0.22, WarmUp: 12, OverloadFactor: 2, OverloadSpan: 1.5}},
+	{rate: 8, recovery: decide.Recovery{InitialCapacityShare: 0.22, WarmUp: 12, OverloadFactor: 2, OverloadSpan: 1.5}},
+	{rate: 6, recovery: decide.Recovery{InitialCapacityShare: 0.2, WarmUp: 11, OverloadFactor: 2, OverloadSpan: 3}},
+	{rate: 20, recovery: decide.Recovery{InitialCapacityShare: 0.3, WarmUp: 8, OverloadFactor: 2, OverloadSpan: 1}},
 }
 
 // simulateReturns simulates outages of a destination in which half of the dispatchers restart. It returns in how many runs the
@@ -256,7 +256,7 @@
 					}
 				}
 			}
-			meanCapacity := f.recovery.InitialCapacity + (1-f.recovery.InitialCapacity)*1.5/f.recovery.WarmUp
+			meanCapacity := f.recovery.InitialCapacityShare + (1-f.recovery.InitialCapacityShare)*1.5/f.recovery.WarmUp
 			budgetUsed := float64(sent) / (float64(seeds) * 3 * f.recovery.OverloadFactor * f.rate * meanCapacity)
 			t.Logf("%d dispatchers, %g/s, load %g: overloaded in %d of %d runs, used %.2f of the budget", dispatchers, f.rate, load,
 				overloads, seeds, budgetUsed)
--- a/decide/health.go
+++ b/decide/health.go
@@ -77,22 +77,22 @@
 	}
 	// Without a limit or a wait, the endpoint refuses because of the calls in flight. The number of those that remain is what
 	// it accepts; if none remain, the refusal does not show that number.
-	if t.limit == 0 && outcome.Wait == 0 {
+	if t.limit == 0 && outcome.ToldWait == 0 {
 		ep.maxCalls = cmp.Or(initialPaceShare*float64(len(ep.calls)), never)
 	}
-	wait := cmp.Or(max(0, outcome.Wait), defaultRefusalWait)
+	wait := cmp.Or(max(0, outcome.ToldWait), defaultRefusalWait)
 	t.blockedUntil = max(t.blockedUntil, now+wait)
 	t.refusedSince, t.consecutiveRefusals = min(t.refusedSince, now), t.consecutiveRefusals+1
 	t.lastRefusal, t.jitter = now, s.rng.float()
 	// With much of the limit left the refusal may come from an outage instead.
-	unlikelyLimit := s.routes.SeparateByKind[ep.kind] && outcome.LimitLeft > ampleLimitLeft
+	unlikelyLimit := s.routes.SeparateKinds[ep.kind] && outcome.LimitLeft > ampleLimitLeft
 	if unlikelyLimit {
 		t.jitter *= unlikelyLimitSpread
 	}
 	t.refusalSamples = appendLast(t.refusalSamples, 1, healthSamples)
 	// Other dispatchers may have used up the limit, so the first maxLimitRefusals refusals that report this are not treated as
 	// an outage. An outage that is reported as an exhausted limit is thus detected one refusal later.
-	limitExhausted := !s.routes.SeparateByKind[ep.kind] && outcome.LimitReported && outcome.LimitLeft <= ampleLimitLeft &&
+	limitExhausted := !s.routes.SeparateKinds[ep.kind] && outcome.LimitReported && outcome.LimitLeft <= ampleLimitLeft &&
 		t.consecutiveRefusals <= maxLimitRefusals
 	if !limitExhausted && now+wait-t.refusedSince > refusalOutageAfter || unlikelyLimit && t.refusedSince < now {
 		s.eject(now, t)
@@ -150,7 +150,7 @@
 	failedAgain := outcome.Result == NotConnected && ep.firstFailure > ep.lastAnswer && ep.firstFailure < now
 	// noDelivery: nothing was delivered while the push was in flight.
 	switch noDelivery := t.lastDelivery < c.startedAt; {
-	case noDelivery && (failuresOfLastTwo == 2 || failedAgain || s.routes.SeparateByKind[ep.kind] ||
+	case noDelivery && (failuresOfLastTwo == 2 || failedAgain || s.routes.SeparateKinds[ep.kind] ||
 		s.rng.float() < s.outageProbability(now, c, h, outcome)):
 		s.eject(now, t)
 	case failures >= 2 && 2*failures >= len(recentOutcomes) && !t.inOutage(): // at least half of the latest pushes failed
@@ -170,7 +170,7 @@
 	}
 	t, recovery := c.throttle, s.recovery
 	if entry, ok := s.dir.Find(h.Dest, outcome.Endpoint); ok &&
-		recovery.OverloadFactor*recovery.InitialCapacity*s.destinationRate(entry, t)*recovery.OverloadSpan >=
+		recovery.OverloadFactor*recovery.InitialCapacityShare*s.destinationRate(entry, t)*recovery.OverloadSpan >=
 			float64(recovery.Dispatchers-1) {
 		return 0 // one more call from each other dispatcher is within the recovery budget
 	}
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -50,8 +50,8 @@
 	h := &harness{dir: directory.New(), notifications: map[string]decide.Notification{}, pushed: map[string]bool{}, now: 100}
 	dep := deployment{topics: slices.Clone(topics),
 		capacity: decide.Capacity{MaxCalls: maxCalls, MaxHeld: maxHeld, BatchSize: map[string]int{"bulk": 3}},
-		routes:   decide.Routes{SeparateByKind: map[string]bool{"apart": true}},
-		recovery: decide.Recovery{InitialCapacity: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2},
+		routes:   decide.Routes{SeparateKinds: map[string]bool{"apart": true}},
+		recovery: decide.Recovery{InitialCapacityShare: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2},
 		policy:   decide.PushPolicy{MaxPushes: 8, KeyCooldown: 1, Tick: 0.005, IdleTimeout: 1},
 		quotas:   decide.TenantQuotas{Rate: map[string]float64{"big": 2}, OverQuotaBenefit: 0.05}}
 	dep.seed = 7
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -44,7 +44,7 @@
 		h.submit("reading", "A1")
 		h.run(0, 0.5, delivered)
 		h.submit("reading", "A2")
-		refusal := decide.Outcome{Result: decide.Throttled, LimitReported: true, LimitLeft: share, Limit: 10, Wait: 1.5}
+		refusal := decide.Outcome{Result: decide.Throttled, LimitReported: true, LimitLeft: share, Limit: 10, ToldWait: 1.5}
 		h.run(0.5, 3.3, refusal)
 		h.submit("reading", "A3", "A4", "A5")
 		h.run(3.3, 8, delivered)
@@ -78,7 +78,7 @@
 		h.submit("order", "A2")
 		h.run(0, 0.5, decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0.3, Limit: 4})
 		h.submit(topic, "A3")
-		h.run(0.5, 0.6, decide.Outcome{Result: decide.Throttled, LimitReported: true, Limit: 4, Wait: 0.2})
+		h.run(0.5, 0.6, decide.Outcome{Result: decide.Throttled, LimitReported: true, Limit: 4, ToldWait: 0.2})
 		h.submit(topic, "A4", "A5", "A6")
 		h.run(0.6, 5, decide.Outcome{Result: decide.Delivered, LimitReported: true, LimitLeft: 0.3, Limit: 4})
 	}
@@ -98,7 +98,7 @@
 	h.runAt(0)
 	h.now += 4
 	h.finish("A", timedOut, "A1")
-	h.scheduler.HandleOutcome(h.now, decide.Outcome{Dest: "A", Endpoint: "A", Wait: 3})
+	h.scheduler.HandleOutcome(h.now, decide.Outcome{Dest: "A", Endpoint: "A", ToldWait: 3})
 	h.runAt(6.9)
 	h.runAt(7.1)
 	// Output:
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -33,7 +33,7 @@
 			return never
 		}
 		pause := setAsideBase + setAsideJitter*t.jitter
-		if s.routes.SeparateByKind[entry.Kind] {
+		if s.routes.SeparateKinds[entry.Kind] {
 			return max(t.lastTrial, t.blockedUntil) + max(pause, t.jitter/max(s.routeTrialRate(now, dest, entry, t), 0.01))
 		}
 		return max(s.nextTrialAt(dest, entry, t), max(t.lastTrial, t.blockedUntil)+pause)
@@ -56,8 +56,8 @@
 func (s *Scheduler) slowStartAfterRestart(now float64, ntf Notification) {
 	for _, entry := range s.dir.Endpoints(ntf.Dest) {
 		t := s.throttle(entry)
-		budget := s.recovery.OverloadFactor * s.recovery.InitialCapacity * s.destinationRate(entry, t) * s.recovery.OverloadSpan
-		if !t.recovering && !s.routes.SeparateByKind[entry.Kind] && s.evenShare(budget) >= 1 {
+		budget := s.recovery.OverloadFactor * s.recovery.InitialCapacityShare * s.destinationRate(entry, t) * s.recovery.OverloadSpan
+		if !t.recovering && !s.routes.SeparateKinds[entry.Kind] && s.evenShare(budget) >= 1 {
 			t.recovering, t.respondingSince, t.firstAnswer = true, now, now
 		}
 	}
@@ -81,7 +81,7 @@
 // the capacity of its destination, while everything that arrived for the destination may be sent to it.
 func (s *Scheduler) routeTrialRate(now float64, dest *destination, entry directory.Endpoint, t *throttle) float64 {
 	demand := s.cappedDemand(now, dest, entry, t)
-	rate := usedBudgetShare * s.recovery.OverloadFactor * s.recovery.InitialCapacity * demand
+	rate := usedBudgetShare * s.recovery.OverloadFactor * s.recovery.InitialCapacityShare * demand
 	// The expected share of dispatchers that hold a notification for the route.
 	holdingShare := 1 - math.Exp(-demand*(setAsideBase+now-t.outageSince))
 	rate *= s.routeShare(entry, t) * min(maxTrialRateFactor, minTrialRateFactor/holdingShare) *
@@ -102,14 +102,14 @@
 			rateSum += 1 / s.trialSpan(h)
 		}
 	}
-	trialsEach := s.recovery.OverloadFactor * s.recovery.InitialCapacity / s.expectedUsage(t) // trials per recent notification
+	trialsEach := s.recovery.OverloadFactor * s.recovery.InitialCapacityShare / s.expectedUsage(t) // trials per recent notification
 	evenShare, span := s.evenShare(s.destinationRate(entry, t)), max(s.recovery.WarmUp, 1)
 	if expected := span * evenShare; expected > 0 && recentCount > chanceBound(expected) {
 		trialsEach *= chanceBound(expected) / recentCount
 	}
 	// All queued notifications together are tried at least at an even share of the recovery budget, times the probability that
 	// a dispatcher has a recent notification for the destination.
-	minRate := usedBudgetShare * s.recovery.OverloadFactor * s.recovery.InitialCapacity * evenShare * (1 - math.Exp(-evenShare*span))
+	minRate := usedBudgetShare * s.recovery.OverloadFactor * s.recovery.InitialCapacityShare * evenShare * (1 - math.Exp(-evenShare*span))
 	extraRate := max(0, minRate-trialsEach*rateSum) / float64(max(1, len(dest.queue)))
 	earliest := never
 	for _, h := range dest.queue {
@@ -167,7 +167,7 @@
 
 // capacityShare returns the share of its capacity that a destination in slow start has.
 func (s *Scheduler) capacityShare(now float64, t *throttle) float64 {
-	return s.recovery.InitialCapacity + (1-s.recovery.InitialCapacity)*max(0, min(1, (now-t.respondingSince)/s.recovery.WarmUp))
+	return s.recovery.InitialCapacityShare + (1-s.recovery.InitialCapacityShare)*max(0, min(1, (now-t.respondingSince)/s.recovery.WarmUp))
 }
 
 // demandShare returns this dispatcher's share of what a destination can take, in notifications per second: the rate of
@@ -190,7 +190,7 @@
 // it had the limit of this one; if this one has none, all routes count the same. An endpoint that is not a separate route has
 // a share of 1.
 func (s *Scheduler) routeShare(entry directory.Endpoint, t *throttle) float64 {
-	if !s.routes.SeparateByKind[entry.Kind] {
+	if !s.routes.SeparateKinds[entry.Kind] {
 		return 1
 	}
 	ownLimit := cmp.Or(t.limit, 1)
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -13,9 +13,9 @@
 // otherRecoveryTerms are recovery settings of three more deployments. Their rates and warm-up times differ from those of
 // recoveryTerms.
 var otherRecoveryTerms = []fleetScenario{
-	{rate: 4, recovery: decide.Recovery{InitialCapacity: 0.16, WarmUp: 10, OverloadFactor: 2.5, OverloadSpan: 2}},
-	{rate: 12, recovery: decide.Recovery{InitialCapacity: 0.28, WarmUp: 14, OverloadFactor: 2, OverloadSpan: 1}},
-	{rate: 30, recovery: decide.Recovery{InitialCapacity: 0.2, WarmUp: 9, OverloadFactor: 2, OverloadSpan: 1.5}},
+	{rate: 4, recovery: decide.Recovery{InitialCapacityShare: 0.16, WarmUp: 10, OverloadFactor: 2.5, OverloadSpan: 2}},
+	{rate: 12, recovery: decide.Recovery{InitialCapacityShare: 0.28, WarmUp: 14, OverloadFactor: 2, OverloadSpan: 1}},
+	{rate: 30, recovery: decide.Recovery{InitialCapacityShare: 0.2, WarmUp: 9, OverloadFactor: 2, OverloadSpan: 1.5}},
 }
 
 // allScenarios returns each combination of recovery terms, load, restarts, endpoints and outage for a number of dispatchers.
@@ -65,7 +65,7 @@
 					result.budgetUsed++
 				}
 			}
-			meanCapacity := f.recovery.InitialCapacity + (1-f.recovery.InitialCapacity)*earlySpan/2/f.recovery.WarmUp
+			meanCapacity := f.recovery.InitialCapacityShare + (1-f.recovery.InitialCapacityShare)*earlySpan/2/f.recovery.WarmUp
 			result.budgetUsed /= earlySpan * f.recovery.OverloadFactor * f.rate * meanCapacity
 			results[i] = result
 		})
@@ -263,7 +263,7 @@
 			h.quiet = true
 			for i := range 25 {
 				h.restore("reading", fmt.Sprint("A", i),
-					decide.Notification{Pushes: 1, RanAt: 99, RanTo: "A", LastPushFailed: failedBefore})
+					decide.Notification{Pushes: 1, FirstRunAt: 99, FirstRunEndpoint: "A", LastPushFailed: failedBefore})
 			}
 			h.runAt(3)
 			fmt.Printf("%d dispatchers, last push failed %v: %d at once\n", dispatchers, failedBefore, len(h.pushed))
--- a/decide/state.go
+++ b/decide/state.go
@@ -274,7 +274,7 @@
 // throttle returns the throttle that applies to an endpoint, which it creates if there is none.
 func (s *Scheduler) throttle(entry directory.Endpoint) *throttle {
 	id := throttleID{owner: entry.Dest, shared: true}
-	if s.routes.SeparateByKind[entry.Kind] {
+	if s.routes.SeparateKinds[entry.Kind] {
 		id = throttleID{owner: entry.ID}
 	}
 	t := s.throttles[id]
@@ -306,8 +306,11 @@
 	return ""
 }
 
-// TTL returns the TTL of a topic in seconds and reports whether the topic exists.
-func (s *Scheduler) TTL(topic string) (float64, bool) { t, ok := s.topics[topic]; return t.TTL, ok }
+// TopicTTL returns the TTL of a topic in seconds and reports whether the topic exists.
+func (s *Scheduler) TopicTTL(topic string) (float64, bool) {
+	t, ok := s.topics[topic]
+	return t.TTL, ok
+}
 
 // appendLast appends v and keeps the latest n elements.
 func appendLast[T any](s []T, v T, n int) []T {
--- a/decide/state_test.go
+++ b/decide/state_test.go
@@ -13,7 +13,7 @@
 	s := New(7, dir, []Topic{{Name: "order", Repeat: OnceOnly, TTL: 20, Objective: 2, Benefit: 1, Ordered: true}},
 		Capacity{MaxCalls: 40, MaxHeld: 40}, Routes{}, Recovery{WarmUp: 10, Dispatchers: 1},
 		PushPolicy{MaxPushes: 8, KeyCooldown: 1.5, Tick: 0.005, IdleTimeout: 2}, TenantQuotas{}, false)
-	outcomes := map[string]Outcome{"A": {Result: Delivered}, "B": {Result: Throttled, Wait: 9},
+	outcomes := map[string]Outcome{"A": {Result: Delivered}, "B": {Result: Throttled, ToldWait: 9},
 		"C": {Result: TimedOut}, "D": {Result: Delivered}}
 	update := func(now float64, stage string) {
 		for _, id := range []string{"A", "B", "C"} {
--- a/decide/told_wait_test.go
+++ b/decide/told_wait_test.go
@@ -8,8 +8,8 @@
 // the call had their final answers, or because all slots were taken.
 func Example_waitInAnyAnswer() {
 	for _, outcome := range []decide.Outcome{
-		{Result: decide.NotAttempted, Final: true, Wait: 2},
-		{Result: decide.NotAttempted, NoSlot: true, Wait: 2},
+		{Result: decide.NotAttempted, Final: true, ToldWait: 2},
+		{Result: decide.NotAttempted, NoSlot: true, ToldWait: 2},
 	} {
 		h := newHarness(2, 9, "A1")
 		h.submit("reading", "Aa")
--- a/decide/types.go
+++ b/decide/types.go
@@ -36,13 +36,13 @@
 	TimeLeft float64 // time until the TTL ends, in seconds, when the notification arrives
 
 	// The fields below describe a notification that a restarted dispatcher has read back from its ledger.
-	Restored       bool    // it was read back from the ledger
-	NoticePending  bool    // it has its final answer, and only the notice of that is still unacknowledged
-	Pushes         int     // pushes already used
-	RanAt          float64 // time at which the first push that may have run was sent, in seconds; 0 for none
-	RanTo          string  // endpoint of that push
-	RanZone        string  // zone of that endpoint at the time; "" if not recorded
-	LastPushFailed bool    // its last push ended without an answer that delivered it
+	Restored         bool    // it was read back from the ledger
+	NoticePending    bool    // it has its final answer, and only the notice of that is still unacknowledged
+	Pushes           int     // pushes already used
+	FirstRunAt       float64 // time at which the first push that may have run was sent, in seconds; 0 for none
+	FirstRunEndpoint string  // endpoint of that push
+	FirstRunZone     string  // zone of that endpoint at the time; "" if not recorded
+	LastPushFailed   bool    // its last push ended without an answer that delivered it
 }
 
 // Result says how a push ended, or what else an Outcome reports.
@@ -73,7 +73,7 @@
 	Final              bool // the notification has its final answer
 	Endpoint           string
 	Latency            float64 // time from the start of the push to its end, in seconds
-	Wait               float64 // the wait that the endpoint told, in seconds; 0 for none
+	ToldWait           float64 // the wait that the endpoint told, in seconds; 0 for none
 	TooManyConnections bool    // Throttled: the endpoint holds no more connections and closed this one
 	NoSlot             bool    // NotAttempted: all slots were taken
 	Unsent             bool    // NotAttempted: returned before the first byte was sent; does not count as a push
@@ -131,15 +131,15 @@
 // Routes describes how endpoints are throttled and what pushes cost. An endpoint that is a separate route has a throttle of
 // its own; the others share that of their destination.
 type Routes struct {
-	SeparateByKind map[string]bool    // by kind: whether endpoints of it are separate routes
-	FeeByZone      map[string]float64 // by zone: cost of a push to an endpoint in it
-	FreeRefusals   bool               // a refused push costs nothing
+	SeparateKinds map[string]bool    // by kind: whether endpoints of it are separate routes
+	FeeByZone     map[string]float64 // by zone: cost of a push to an endpoint in it
+	FreeRefusals  bool               // a refused push costs nothing
 }
 
 // Recovery describes how many calls a destination can take, from all Dispatchers together, as it returns from an outage.
 // Times are in seconds.
 type Recovery struct {
-	InitialCapacity, WarmUp      float64 // share of capacity at its return, and time until it has all of it
+	InitialCapacityShare, WarmUp float64 // share of capacity at its return, and time until it has all of it
 	OverloadFactor, OverloadSpan float64 // it fails again if sent more than OverloadFactor times its capacity for OverloadSpan
 	Dispatchers                  int
 	RatesUnlisted                bool // the list of endpoints has no rates
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -88,7 +88,7 @@
 	firstListBy := state.clock() + firstListTimeout.Seconds()
 	runner.Gateway.SetSendChecker(invariant.NewSendChecker(invariants,
 		invariant.Margins{DrainGrace: parts.drainGrace, KeyHold: parts.scheduler.KeyCooldown()}, firstListBy))
-	log.Info().Int("owed", len(state.pending)).Int("taken_over", state.report.Migrated).Int("listed", len(cfg.Known.Servers)).Msg("start")
+	log.Info().Int("owed", len(state.pending)).Int("taken_over", state.report.MigratedRecords).Int("listed", len(cfg.Known.Servers)).Msg("start")
 	runner.Gateway.AdvanceCallID(state.ledger.LastCallNumber())
 	runner.Gateway.AwaitFirstList(firstListBy)
 	runner.Restore(state.pending)
@@ -104,7 +104,7 @@
 	if err == nil {
 		startup.recordStep("listener")
 	}
-	server := intake.NewServer(state.clock, parts.scheduler.TTL, runner.Post, descriptorLimit(cfg.Limits.Sockets)/2, log)
+	server := intake.NewServer(state.clock, parts.scheduler.TopicTTL, runner.Post, descriptorLimit(cfg.Limits.Sockets)/2, log)
 	server.SetMetrics(invariants, runner.Metrics.Write)
 	done, failed := make(chan struct{}), make(chan error, 1)
 	stopLoop := sync.OnceFunc(func() { close(done) })
--- a/dispatcher/start.go
+++ b/dispatcher/start.go
@@ -99,7 +99,7 @@
 
 // persistentState is the state that the dispatcher keeps in the folder that outlives the process.
 type persistentState struct {
-	folder  Folder
+	folder  StateFolder
 	ledger  *ledger.Ledger
 	pending []ledger.Pending // notifications that the previous process left pending
 	report  ledger.Report    // result of reading the ledger
@@ -115,7 +115,7 @@
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
 	sync := cfg.Ledger.Sync == syncBatch || cfg.Ledger.Sync == syncAlways
-	state.ledger, state.pending, state.report, err = ledger.Open(state.folder, ledger.Options{Limit: int(cfg.Limits.DiskMB * 1e6), Sync: sync})
+	state.ledger, state.pending, state.report, err = ledger.Open(state.folder, ledger.Options{LimitBytes: int(cfg.Limits.DiskMB * 1e6), Sync: sync})
 	if err != nil {
 		_ = state.folder.Close()
 		return nil, err
@@ -123,7 +123,7 @@
 	for _, damaged := range state.report.Damaged {
 		log.Error().Str("file", damaged.File).Int("at", damaged.Offset).Int("bytes", damaged.Bytes).Msg("ledger damaged: pushes of notifications owed from before may have run")
 	}
-	processClock, err := clock.Open(state.folder, system.Clocks, sync)
+	processClock, err := clock.Open(state.folder, system.ClockSource, sync)
 	if errors.Is(err, clock.ErrOffsetUnreadable) {
 		return nil, errors.Join(err, state.ledger.Close(), state.folder.Close())
 	}
--- a/dispatcher/system.go
+++ b/dispatcher/system.go
@@ -10,8 +10,8 @@
 	"orchiddrift/disk"
 )
 
-// Folder is the folder that outlives the process. The process has exclusive access until it closes the folder.
-type Folder interface {
+// StateFolder is the folder that outlives the process. The process has exclusive access until it closes the folder.
+type StateFolder interface {
 	disk.Folder
 	io.Closer
 }
@@ -20,8 +20,8 @@
 type System struct {
 	Getenv           func(name string) string
 	ReadFile         func(path string) ([]byte, error)
-	Clocks           clock.Source
-	OpenFolder       func(path string) (Folder, error)
+	ClockSource      clock.Source
+	OpenFolder       func(path string) (StateFolder, error)
 	Listen           func(address string) (net.Listener, error)
 	Dial             func(address string, timeout time.Duration) (net.Conn, error)
 	PanicOnViolation bool // for tests: panic when an invariant is violated
@@ -30,11 +30,11 @@
 // HostSystem returns the System of the machine that the process runs on.
 func HostSystem(getenv func(string) string) System {
 	return System{
-		Getenv:     getenv,
-		ReadFile:   os.ReadFile,
-		Clocks:     clock.SystemSource(),
-		OpenFolder: func(path string) (Folder, error) { return disk.OpenDir(path) },
-		Listen:     func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
+		Getenv:      getenv,
+		ReadFile:    os.ReadFile,
+		ClockSource: clock.SystemSource(),
+		OpenFolder:  func(path string) (StateFolder, error) { return disk.OpenDir(path) },
+		Listen:      func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
 		Dial: func(address string, timeout time.Duration) (net.Conn, error) {
 			return net.DialTimeout("tcp", address, timeout)
 		},
--- a/dispatcher/system_test.go
+++ b/dispatcher/system_test.go
@@ -92,7 +92,7 @@
 		<-env.pushed
 		env.stop(t)
 		system := env.system()
-		system.Clocks.Wall = func() time.Time { return time.Now().Add(step) }
+		system.ClockSource.Wall = func() time.Time { return time.Now().Add(step) }
 		env.startOn(t, system)
 		select {
 		case budget := <-env.pushed:
@@ -125,7 +125,7 @@
 		return nil
 	}
 	open, listen, read := system.OpenFolder, system.Listen, system.ReadFile
-	system.OpenFolder = func(path string) (dispatcher.Folder, error) {
+	system.OpenFolder = func(path string) (dispatcher.StateFolder, error) {
 		if err := failTwice(&os.PathError{Op: "open", Path: filepath.Join(path, "lock"), Err: syscall.EIO}); err != nil {
 			return nil, err
 		}
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -196,7 +196,7 @@
 func (g *Gateway) handleToldWait(now float64, e directory.Endpoint, wait float64) {
 	g.lastToldWait[g.throttleKeyOf(e)] = now
 	g.checker.WaitTold(g.throttleKeyOf(e).String(), now+wait)
-	g.scheduler.HandleOutcome(now, decide.Outcome{Dest: e.Dest, Endpoint: e.ID, Wait: wait})
+	g.scheduler.HandleOutcome(now, decide.Outcome{Dest: e.Dest, Endpoint: e.ID, ToldWait: wait})
 }
 
 // endPushes applies the result of a call to some of its messages; result.Ends has the end of each of them in their order.
@@ -216,7 +216,7 @@
 		p.call = nil
 		g.checker.PushEnded(now, c.sentAt, m.ID, result.Ends[i].MayHaveRun(), result.Ends[i].MayStillRun())
 		outcome := result.Ends[i].Outcome()
-		outcome.NotificationID, outcome.Endpoint, outcome.Latency, outcome.Wait = m.ID, c.Endpoint.ID, now-c.placedAt,
+		outcome.NotificationID, outcome.Endpoint, outcome.Latency, outcome.ToldWait = m.ID, c.Endpoint.ID, now-c.placedAt,
 			result.RetryAfter
 		outcome.LimitReported, outcome.LimitLeft, outcome.Limit = result.HasLoadReport, result.LoadShare, result.LoadLimit
 		g.execute(now, g.scheduler.HandleOutcome(now, outcome))
--- a/gateway/crossing_test.go
+++ b/gateway/crossing_test.go
@@ -21,14 +21,14 @@
 // both must be refused. Once the ledger can be written to again, both are accepted, and the message is pending once.
 func Example_duplicateWithFailedWrite() {
 	folder := faulty.New()
-	store, _, _, err := ledger.Open(folder, ledger.Options{Limit: 3e6})
+	store, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: 3e6})
 	if err != nil {
 		panic(err)
 	}
 	r := newRunner(store, func() float64 { return 1000 })
 	replies := make(chan bool, 9)
 	submit := func() {
-		r.Post(gateway.Arrived{Message: newMessage(1020), Reply: func(reply gateway.Reply) { replies <- reply.Accepted }})
+		r.Post(gateway.Arrived{Message: newMessage(1020), Respond: func(reply gateway.Reply) { replies <- reply.Accepted }})
 	}
 	run := func() {
 		stop := make(chan struct{})
@@ -46,7 +46,7 @@
 	submit()
 	submit()
 	run()
-	_, pending, _, _ := ledger.Open(folder, ledger.Options{Limit: 3e6, ReadOnly: true})
+	_, pending, _, _ := ledger.Open(folder, ledger.Options{LimitBytes: 3e6, ReadOnly: true})
 	fmt.Println("pending", len(pending))
 	// Output:
 	// accepted false
@@ -100,12 +100,12 @@
 			requests <- r.Header.Get("X-Call-Id")
 		}))
 		folder := faulty.New()
-		store, _, _, err := ledger.Open(folder, ledger.Options{Limit: 3e6})
+		store, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: 3e6})
 		if err != nil {
 			panic(err)
 		}
 		m := newMessage(1020)
-		m.Topic, m.IdempotencyKey, m.RanAt, m.RanTo, m.Pushes = "tally", "m1", 996, "A", 1
+		m.Topic, m.IdempotencyKey, m.FirstRunAt, m.FirstRunEndpoint, m.Pushes = "tally", "m1", 996, "A", 1
 		if err := store.Write(ledger.Record{Kind: ledger.Accepted, ID: "A1", Message: m}); err != nil {
 			panic(err)
 		}
@@ -152,7 +152,7 @@
 func TestRefusalWaitsForLedger(t *testing.T) {
 	for _, recovers := range []bool{true, false} {
 		folder := faulty.New()
-		store, _, _, err := ledger.Open(folder, ledger.Options{Limit: 3e6, Sync: true})
+		store, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: 3e6, Sync: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,7 +160,7 @@
 		now := 1000.0
 		r := newRunner(store, func() float64 { return now }, "127.0.0.1:1")
 		var replies []gateway.Reply
-		r.Post(gateway.Arrived{Message: newMessage(1020), Reply: func(reply gateway.Reply) { replies = append(replies, reply) }})
+		r.Post(gateway.Arrived{Message: newMessage(1020), Respond: func(reply gateway.Reply) { replies = append(replies, reply) }})
 		run := func() {
 			stop := make(chan struct{})
 			time.AfterFunc(200*time.Millisecond, func() { close(stop) })
@@ -179,7 +179,7 @@
 		if len(replies) != 1 || replies[0].Accepted || replies[0].Reason != gateway.LedgerFailed {
 			t.Errorf("ledger recovers %v: answered %+v", recovers, replies)
 		}
-		if _, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{Limit: 3e6, Sync: true}); err != nil ||
+		if _, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{LimitBytes: 3e6, Sync: true}); err != nil ||
 			recovers && len(pending) > 0 {
 			t.Errorf("ledger recovers %v: %d messages pending after the restart, %v", recovers, len(pending), err)
 		}
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -14,7 +14,7 @@
 // Arrived reports a message submitted by a client. Reply is called exactly once.
 type Arrived struct {
 	Message *message.Message
-	Reply   func(Reply)
+	Respond func(Reply)
 }
 
 // AcceptFailed reports that a message was not accepted because it could not be written to the ledger.
--- a/gateway/fault_test.go
+++ b/gateway/fault_test.go
@@ -84,7 +84,7 @@
 	}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	r.addr = strings.TrimPrefix(server.URL, "http://")
-	store, _, _, err := ledger.Open(r.failingFolder, ledger.Options{Limit: 3e6})
+	store, _, _, err := ledger.Open(r.failingFolder, ledger.Options{LimitBytes: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,14 +100,14 @@
 // submit submits a message and reports whether it was accepted.
 func (r *diskFixture) submit(expiresAt float64) bool {
 	accepted := make(chan bool, 1)
-	r.Post(gateway.Arrived{Message: newMessage(expiresAt), Reply: func(reply gateway.Reply) { accepted <- reply.Accepted }})
+	r.Post(gateway.Arrived{Message: newMessage(expiresAt), Respond: func(reply gateway.Reply) { accepted <- reply.Accepted }})
 	return <-accepted
 }
 
 // pendingAfterRestart returns the number of messages that a new process would find in the ledger.
 func (r *diskFixture) pendingAfterRestart(t *testing.T) int {
 	t.Helper()
-	_, list, _, err := ledger.Open(r.folder.Restart(), ledger.Options{Limit: 3e6, ReadOnly: true})
+	_, list, _, err := ledger.Open(r.folder.Restart(), ledger.Options{LimitBytes: 3e6, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -214,15 +214,15 @@
 func (g *Gateway) handleArrived(now float64, e Arrived) {
 	m := e.Message
 	if _, settled := g.settled[m.ID]; settled || g.pending[m.ID] != nil { // a duplicate of a pending or settled message
-		g.emit(Answer{m.ID, e.Reply, Reply{Accepted: true}})
+		g.emit(Answer{m.ID, e.Respond, Reply{Accepted: true}})
 		return
 	}
 	if g.pushesStopped {
-		g.emit(Answer{m.ID, e.Reply, Reply{Reason: ShuttingDown}})
+		g.emit(Answer{m.ID, e.Respond, Reply{Reason: ShuttingDown}})
 		return
 	}
 	if !g.hasRoom(len(m.Body)) {
-		g.emit(Answer{m.ID, e.Reply, Reply{Reason: LedgerFull}})
+		g.emit(Answer{m.ID, e.Respond, Reply{Reason: LedgerFull}})
 		return
 	}
 	if now <= g.socketDelayUntil {
@@ -231,18 +231,18 @@
 	m.TimeLeft = m.ExpiresAt - now
 	d := g.scheduler.Place(now, m.Notification)
 	if d.Action == decide.Throttle {
-		g.emit(Answer{m.ID, e.Reply, Reply{RetryIn: d.RetryIn, Reason: NotPlaceable}})
+		g.emit(Answer{m.ID, e.Respond, Reply{RetryIn: d.RetryIn, Reason: NotPlaceable}})
 		return
 	}
 	g.pending[m.ID] = &pendingMessage{message: m}
 	g.registerWithChecker(m)
-	g.emit(Accept{m, e.Reply})
+	g.emit(Accept{m, e.Respond})
 }
 
 // registerWithChecker informs the checker of a message that is pending from now on.
 func (g *Gateway) registerWithChecker(m *message.Message) {
 	topic := g.scheduler.Topic(m.Topic)
-	rules := invariant.Rules{Deadline: m.ExpiresAt, MayHaveRunSince: m.RanAt, OnceOnly: topic.Repeat == decide.OnceOnly}
+	rules := invariant.Rules{Deadline: m.ExpiresAt, MayHaveRunSince: m.FirstRunAt, OnceOnly: topic.Repeat == decide.OnceOnly}
 	if topic.Repeat == decide.Collapsible {
 		rules.Window = topic.DedupWindow
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -40,8 +40,8 @@
 	}
 	batchSize, separateRoutes := map[string]int{"bulk": 2}, map[string]bool{"apart": true}
 	scheduler := decide.New(1, dir, topics, decide.Capacity{MaxCalls: 6, MaxHeld: 9, BatchSize: batchSize},
-		decide.Routes{SeparateByKind: separateRoutes},
-		decide.Recovery{InitialCapacity: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2},
+		decide.Routes{SeparateKinds: separateRoutes},
+		decide.Recovery{InitialCapacityShare: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2},
 		decide.PushPolicy{MaxPushes: 8, KeyCooldown: 1, Tick: 0.005, IdleTimeout: 10}, decide.TenantQuotas{}, false)
 	f.gateway = gateway.New(scheduler, dir, func(int) bool { return f.hasRoom }, separateRoutes, batchSize, 1.5)
 	return f
@@ -61,7 +61,7 @@
 		if topic == "order" {
 			m.Key = id[1:2]
 		}
-		f.step(gateway.Arrived{Message: m, Reply: func(gateway.Reply) {}})
+		f.step(gateway.Arrived{Message: m, Respond: func(gateway.Reply) {}})
 	}
 }
 
@@ -290,7 +290,7 @@
 	for _, id := range []string{"A1", "A2"} {
 		m := &message.Message{ExpiresAt: f.now + 20, Body: make([]byte, 30<<10)}
 		m.ID, m.Topic, m.Dest = id, "reading", "A"
-		f.step(gateway.Arrived{Message: m, Reply: func(gateway.Reply) {}})
+		f.step(gateway.Arrived{Message: m, Respond: func(gateway.Reply) {}})
 	}
 	f.placeDueAt(0)
 	f.placeDueAt(0.01)
@@ -324,7 +324,7 @@
 	f := newFixture("A", "B")
 	pendingMessage := func(id string, ranAt float64, notice *ledger.Record) ledger.Pending {
 		m := &message.Message{ExpiresAt: f.now + 9}
-		m.ID, m.Topic, m.Dest, m.Key, m.RanAt, m.RanTo = id, "order", id[:1], id[1:2], ranAt, id[:1]
+		m.ID, m.Topic, m.Dest, m.Key, m.FirstRunAt, m.FirstRunEndpoint = id, "order", id[:1], id[1:2], ranAt, id[:1]
 		return ledger.Pending{Message: m, Notice: notice}
 	}
 	f.print(f.gateway.Restore(f.now, []ledger.Pending{pendingMessage("A1", 998, nil), pendingMessage("A2", 0, nil),
--- a/gateway/late_test.go
+++ b/gateway/late_test.go
@@ -57,12 +57,12 @@
 			requests <- r.Header.Get("X-Call-Id")
 		}))
 		addr := strings.TrimPrefix(server.URL, "http://")
-		store, _, _, err := ledger.Open(faulty.New(), ledger.Options{Limit: 3e6})
+		store, _, _, err := ledger.Open(faulty.New(), ledger.Options{LimitBytes: 3e6})
 		if err != nil {
 			panic(err)
 		}
 		r := newRunner(store, func() float64 { return 1000 }, addr)
-		r.Gateway.Step(1000, gateway.Arrived{Message: newMessage(1020), Reply: func(gateway.Reply) {}}) // it waits for its turn
+		r.Gateway.Step(1000, gateway.Arrived{Message: newMessage(1020), Respond: func(gateway.Reply) {}}) // it waits for its turn
 		r.Post(gateway.LateWait{Endpoint: directory.Endpoint{ID: addr, Dest: "A", Kind: "bulk"}, Wait: 9})
 		if _, ok := runUntil(r, requests); ok {
 			sent++
@@ -100,7 +100,7 @@
 			}
 		}
 	}()
-	store, _, _, err := ledger.Open(faulty.New(), ledger.Options{Limit: 3e6})
+	store, _, _, err := ledger.Open(faulty.New(), ledger.Options{LimitBytes: 3e6})
 	if err != nil {
 		panic(err)
 	}
@@ -110,7 +110,7 @@
 	r.Log = zerolog.New(logWatcher{"endpoint told a wait after its call was given up", logged})
 	stop, done := make(chan struct{}), make(chan bool)
 	go func() { r.Run(stop); close(done) }()
-	r.Post(gateway.Arrived{Message: newMessage(1000.3), Reply: func(gateway.Reply) {}})
+	r.Post(gateway.Arrived{Message: newMessage(1000.3), Respond: func(gateway.Reply) {}})
 	var loggedAt time.Time
 	select {
 	case loggedAt = <-logged:
@@ -121,7 +121,7 @@
 	for ok := false; !ok; { // retry while the first message still occupies the only place
 		next := newMessage(1020)
 		next.ID = "A2"
-		r.Post(gateway.Arrived{Message: next, Reply: func(reply gateway.Reply) { accepted <- reply.Accepted }})
+		r.Post(gateway.Arrived{Message: next, Respond: func(reply gateway.Reply) { accepted <- reply.Accepted }})
 		if ok = <-accepted; !ok {
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -51,9 +51,9 @@
 			line = line.Uint64("last_call", pending.LastCall.Number).Float64("last_began", pending.LastCall.StartedAt).
 				Str("last_to", pending.LastCall.Endpoint).Str("last_end", string(pending.LastCall.End))
 		}
-		if m.RanAt > 0 {
-			line = line.Uint64("ran_call", m.RanCall).Float64("ran_at", m.RanAt).Float64("ran_ago", now-m.RanAt).
-				Str("ran_to", m.RanTo).Str("ran_zone", m.RanZone)
+		if m.FirstRunAt > 0 {
+			line = line.Uint64("ran_call", m.FirstRunCall).Float64("ran_at", m.FirstRunAt).Float64("ran_ago", now-m.FirstRunAt).
+				Str("ran_to", m.FirstRunEndpoint).Str("ran_zone", m.FirstRunZone)
 		}
 		if pending.Notice != nil {
 			line = line.Str("notice", pending.Notice.Outcome)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -14,7 +14,7 @@
 // that follow to report.
 type Platform interface {
 	Watch(report func(Event))            // carries out the effect Watch
-	Fetch(report func(Event))            // carries out the effect Fetch
+	FetchOnce(report func(Event))        // carries out the effect Fetch
 	Notify(n Notify, report func(Event)) // carries out the effect Notify
 }
 
--- a/gateway/run_test.go
+++ b/gateway/run_test.go
@@ -29,7 +29,7 @@
 			panic(err)
 		}
 		folder, _ := disk.OpenDir(dir)
-		store, _, _, err := ledger.Open(folder, ledger.Options{Limit: 3e6})
+		store, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: 3e6})
 		if err != nil {
 			panic(err)
 		}
@@ -43,7 +43,7 @@
 		stop := make(chan struct{})
 		close(stop)
 		r.Run(stop)
-		_, list, _, _ := ledger.Open(folder, ledger.Options{Limit: 3e6, ReadOnly: true})
+		_, list, _, _ := ledger.Open(folder, ledger.Options{LimitBytes: 3e6, ReadOnly: true})
 		pending += len(list)
 		_ = os.RemoveAll(dir)
 	}
@@ -61,7 +61,7 @@
 			requests <- r.Header.Get("X-Budget")
 		}))
 		folder := faulty.New()
-		store, _, _, err := ledger.Open(folder, ledger.Options{Limit: 3e6})
+		store, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: 3e6})
 		if err != nil {
 			panic(err)
 		}
@@ -69,7 +69,7 @@
 		r := newRunner(store, func() float64 { return 1000 + 0.5*float64(folder.Writes-before) },
 			strings.TrimPrefix(server.URL, "http://"))
 		m := newMessage(expiresAt)
-		r.Post(gateway.Arrived{Message: m, Reply: func(gateway.Reply) {}})
+		r.Post(gateway.Arrived{Message: m, Respond: func(gateway.Reply) {}})
 		if left, ok := runUntil(r, requests); ok {
 			fmt.Println("budget", left)
 		} else {
@@ -105,7 +105,7 @@
 	scheduler := decide.New(1, dir, []decide.Topic{{Name: "reading", Repeat: decide.Repeatable, Objective: 2, TTL: 20},
 		{Name: "tally", Repeat: decide.Collapsible, DedupWindow: 5, DedupScope: "all", Objective: 2, TTL: 20}},
 		decide.Capacity{MaxCalls: 6, MaxHeld: 9}, decide.Routes{},
-		decide.Recovery{InitialCapacity: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2},
+		decide.Recovery{InitialCapacityShare: 0.2, WarmUp: 10, OverloadFactor: 2, OverloadSpan: 2, Dispatchers: 2},
 		decide.PushPolicy{MaxPushes: 8, Tick: 0.005}, decide.TenantQuotas{}, false)
 	return &gateway.Runner{Gateway: gateway.New(scheduler, dir, store.HasRoom, nil, nil, 1), Ledger: store, Log: zerolog.Nop(),
 		Platform: silentPlatform{}, Clock: clock, Events: make(chan gateway.Event, 9)}
@@ -122,5 +122,5 @@
 type silentPlatform struct{}
 
 func (silentPlatform) Watch(func(gateway.Event))                  {}
-func (silentPlatform) Fetch(func(gateway.Event))                  {}
+func (silentPlatform) FetchOnce(func(gateway.Event))              {}
 func (silentPlatform) Notify(gateway.Notify, func(gateway.Event)) {}
--- a/gateway/write.go
+++ b/gateway/write.go
@@ -75,7 +75,7 @@
 				bytes += len(record.Message.Body)
 			}
 		}
-		if bytes > r.Ledger.BatchBytes() && n > 0 {
+		if bytes > r.Ledger.RecommendedBatchBytes() && n > 0 {
 			break
 		}
 		records = append(records, effectRecords...)
@@ -213,7 +213,7 @@
 	case Watch:
 		r.Platform.Watch(r.Post)
 	case Fetch:
-		r.Platform.Fetch(r.Post)
+		r.Platform.FetchOnce(r.Post)
 	}
 }
 
--- a/intake/closing_test.go
+++ b/intake/closing_test.go
@@ -38,7 +38,7 @@
 	ts := &testServer{accepted: make(chan string, 99)}
 	ts.Server = NewServer(func() float64 { return 1000 }, func(string) (float64, bool) { return 9, true }, func(e gateway.Event) {
 		ts.accepted <- e.(gateway.Arrived).Message.ID
-		e.(gateway.Arrived).Reply(gateway.Reply{Accepted: true})
+		e.(gateway.Arrived).Respond(gateway.Reply{Accepted: true})
 	}, 10, zerolog.Nop())
 	var err error
 	if ts.Listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -135,7 +135,7 @@
 		return
 	}
 	reply := make(chan gateway.Reply, 1)
-	s.submit(gateway.Arrived{Message: m, Reply: func(r gateway.Reply) { reply <- r }})
+	s.submit(gateway.Arrived{Message: m, Respond: func(r gateway.Reply) { reply <- r }})
 	r := <-reply
 	s.debugLog.Debug().Str("ntf", m.ID).Stringer("client", ctx.RemoteAddr()).Bool("taken", r.Accepted).Str("why", string(r.Reason)).
 		Float64("after", time.Since(ctx.Time()).Seconds()).Msg("request answered")
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -42,7 +42,7 @@
 	s := intake.NewServer(func() float64 { return 1000 }, ttl, func(e gateway.Event) {
 		m := e.(gateway.Arrived).Message
 		fmt.Printf("%s %s %s %s %q until %g: %q %q\n", m.ID, m.Topic, m.Tenant, m.Dest, m.Key, m.ExpiresAt, m.IdempotencyKey, m.Body)
-		e.(gateway.Arrived).Reply(reply)
+		e.(gateway.Arrived).Respond(reply)
 	}, maxConns, zerolog.Nop())
 	go func() { _ = s.Serve(ln) }()
 	return s, ln.Addr().String()
--- a/lab/behaviour/behaviour_test.go
+++ b/lab/behaviour/behaviour_test.go
@@ -14,7 +14,7 @@
 		troubles[i].Destinations = []int{0}
 	}
 	s := &scenario.Scenario{Seed: 1, Length: 20, Kinds: []scenario.Kind{kind}, Troubles: troubles,
-		Recovery: scenario.Recovery{InitialCapacity: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5}, Load: scenario.Load{Rate: 1},
+		Recovery: scenario.Recovery{InitialCapacityShare: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5}, Load: scenario.Load{Rate: 1},
 		Groups: []scenario.DestinationGroup{{Count: 1, Kind: "k", Endpoints: 1, Share: 1, CapacityFactor: 1, MinRate: 4, ServiceTime: 0.25}}}
 	w := scenario.NewWorld(s)
 	return behaviour.New(w, w.Partners[0])
--- a/lab/fleet/config.go
+++ b/lab/fleet/config.go
@@ -42,6 +42,6 @@
 		"family-info": map[string]any{"max-calls": d.MaxCalls, "batch-by-kind": batch, "separate-routes": separateRoutes},
 		"policy-limits": map[string]any{"most-held": d.MaxHeld, "max-attempts": d.MaxPushes, "dial-timeout-ms": d.DialTimeout * msPerSecond,
 			"idle-close-ms": w.MinIdleTimeout() * msPerSecond},
-		"guarantees": map[string]any{"cold-from": w.Recovery.InitialCapacity, "cold-ms": w.Recovery.WarmUp * msPerSecond,
+		"guarantees": map[string]any{"cold-from": w.Recovery.InitialCapacityShare, "cold-ms": w.Recovery.WarmUp * msPerSecond,
 			"overload-factor": w.Recovery.OverloadFactor, "fall-ms": w.Recovery.OverloadSpan * msPerSecond, "turn-gap-ms": d.KeyCooldown * msPerSecond}}
 }
--- a/lab/modelcheck/process.go
+++ b/lab/modelcheck/process.go
@@ -252,8 +252,8 @@
 // Watch does nothing, because the world sends the list as planned.
 func (platform) Watch(func(gateway.Event)) {}
 
-// Fetch does nothing, because the world sends the list as planned.
-func (platform) Fetch(func(gateway.Event)) {}
+// FetchOnce does nothing, because the world sends the list as planned.
+func (platform) FetchOnce(func(gateway.Event)) {}
 
 // Notify records a notice and answers it as planned.
 func (pf platform) Notify(n gateway.Notify, post func(gateway.Event)) {
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -154,7 +154,7 @@
 func (w *world) start(p *process, sharedCalls bool) bool {
 	endpoints := directory.New()
 	endpoints.Replace(w.endpoints(ListComplete))
-	openLedger, pending, _, err := ledger.Open(folder{w.folder, p}, ledger.Options{Limit: folderLimit})
+	openLedger, pending, _, err := ledger.Open(folder{w.folder, p}, ledger.Options{LimitBytes: folderLimit})
 	if err != nil {
 		p.kill()
 		return false
@@ -170,7 +170,7 @@
 		batchSize[endpointKind] = 10
 	}
 	module := decide.New(1, endpoints, allTopics, decide.Capacity{MaxCalls: 6, MaxHeld: 20, BatchSize: batchSize}, decide.Routes{},
-		decide.Recovery{InitialCapacity: 0.2, WarmUp: 5, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 1},
+		decide.Recovery{InitialCapacityShare: 0.2, WarmUp: 5, OverloadFactor: 2, OverloadSpan: 1, Dispatchers: 1},
 		decide.PushPolicy{MaxPushes: 8, KeyCooldown: 0.1, Tick: tickInterval, IdleTimeout: 5}, decide.TenantQuotas{}, false)
 	p.runner = &gateway.Runner{Gateway: gateway.New(module, endpoints, openLedger.HasRoom, nil, batchSize, 1.5), Ledger: openLedger, Platform: platform{p},
 		Clock: w.now, Tick: tickInterval, Log: zerolog.Nop(), Events: make(chan gateway.Event, 1024), Dialer: push.Dialer(p.dial)}
@@ -193,9 +193,9 @@
 	for _, entry := range pending {
 		switch {
 		case w.fault == ForgetMayHaveRun:
-			entry.Message.RanAt = 0
-		case w.fault == WindowFromLastCall && entry.Message.RanAt > 0 && entry.LastCall.StartedAt > 0:
-			entry.Message.RanAt = entry.LastCall.StartedAt
+			entry.Message.FirstRunAt = 0
+		case w.fault == WindowFromLastCall && entry.Message.FirstRunAt > 0 && entry.LastCall.StartedAt > 0:
+			entry.Message.FirstRunAt = entry.LastCall.StartedAt
 		case w.fault == LoseNotice && entry.Notice != nil:
 			continue
 		}
@@ -252,7 +252,7 @@
 		m.Key = "key of " + id
 	}
 	w.checker.handedIn(id, m.ExpiresAt)
-	p.runner.Post(gateway.Arrived{Message: m, Reply: func(r gateway.Reply) {
+	p.runner.Post(gateway.Arrived{Message: m, Respond: func(r gateway.Reply) {
 		if p.beginOperation() {
 			w.checker.handInAnswered(id, r.Accepted)
 		}
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -13,7 +13,7 @@
 func newWorld() *scenario.World {
 	return scenario.NewWorld(&scenario.Scenario{Seed: 1, Length: 30, Kinds: []scenario.Kind{{Name: "k"}}, Load: scenario.Load{Rate: 1},
 		Dispatchers: scenario.Dispatchers{Count: 1, MaxPushes: 3, DrainGrace: 0.5, KeyCooldown: 0.4, MemoryMB: 1, DiskMB: 1},
-		Recovery:    scenario.Recovery{InitialCapacity: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5},
+		Recovery:    scenario.Recovery{InitialCapacityShare: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5},
 		Groups:      []scenario.DestinationGroup{{Count: 2, Kind: "k", Endpoints: 1, Share: 1, CapacityFactor: 1, MinRate: 4}},
 		Topics: []scenario.Topic{{Name: "once", Repeat: scenario.OnceOnly, TTL: 6, Ordered: true},
 			{Name: "again", Repeat: scenario.Repeatable, TTL: 6}, {Name: "mark", Repeat: scenario.Collapsible, DedupWindow: 2, TTL: 6}},
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -56,7 +56,7 @@
 	checkRange("dispatchers.memory", d.MemoryMB, 16, 1e5)
 	checkRange("dispatchers.sockets", float64(d.Sockets), 32, 1e6)
 	checkRange("dispatchers.disk", d.DiskMB, 0.1, 1e5)
-	checkRange("returns.cold_from", s.Recovery.InitialCapacity, 0.01, 1)
+	checkRange("returns.cold_from", s.Recovery.InitialCapacityShare, 0.01, 1)
 	checkRange("returns.cold_span", s.Recovery.WarmUp, 0.1, 600)
 	checkRange("returns.multiple", s.Recovery.OverloadFactor, 1, 100)
 	checkRange("returns.fall", s.Recovery.OverloadSpan, 0.1, 60)
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -147,7 +147,7 @@
 		Seed: 1, Length: 10,
 		Dispatchers: Dispatchers{Count: 2, MaxCalls: 32, MaxHeld: 400, MaxPushes: 8, TickInterval: 0.005, DialTimeout: 1.5, DrainGrace: 0.5, Cores: 1,
 			MemoryMB: 192, Sockets: 1024, DiskMB: 3},
-		Recovery: Recovery{InitialCapacity: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5},
+		Recovery: Recovery{InitialCapacityShare: 0.25, WarmUp: 4, OverloadFactor: 2, OverloadSpan: 1.5},
 		Load: Load{Rate: 100, Clients: 4, BurstSize: 10, Keys: 50, BodyBytes: 200, MaxRetries: 3, RetryDelay: 0.5, FailureDetectionDelay: 1,
 			MaxLateness: 0.05},
 	}
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -39,10 +39,10 @@
 
 // Recovery is how much load a destination can take after an outage.
 type Recovery struct {
-	InitialCapacity float64 `toml:"cold_from"` // share of its capacity at the end of the outage
-	WarmUp          float64 `toml:"cold_span"` // time until its full capacity is back
-	OverloadFactor  float64 `toml:"multiple"`  // multiple of its current capacity that brings it down again, for good
-	OverloadSpan    float64 `toml:"fall"`      // length of the window in which that multiple is measured
+	InitialCapacityShare float64 `toml:"cold_from"` // share of its capacity at the end of the outage
+	WarmUp               float64 `toml:"cold_span"` // time until its full capacity is back
+	OverloadFactor       float64 `toml:"multiple"`  // multiple of its current capacity that brings it down again, for good
+	OverloadSpan         float64 `toml:"fall"`      // length of the window in which that multiple is measured
 }
 
 // The repeat policies of a topic type.
--- a/lab/scenario/world.go
+++ b/lab/scenario/world.go
@@ -202,7 +202,7 @@
 			continue
 		}
 		latest = f.At
-		share = min(1, w.Recovery.InitialCapacity+(1-w.Recovery.InitialCapacity)*max(0, now-f.End())/w.Recovery.WarmUp)
+		share = min(1, w.Recovery.InitialCapacityShare+(1-w.Recovery.InitialCapacityShare)*max(0, now-f.End())/w.Recovery.WarmUp)
 	}
 	return share
 }
--- a/lab/soak/machine.go
+++ b/lab/soak/machine.go
@@ -163,14 +163,14 @@
 // wrap returns system with the faults of the injector.
 func (in *faultInjector) wrap(system dispatcher.System) dispatcher.System {
 	host := system
-	system.Clocks.Wall = func() time.Time { return host.Clocks.Wall().Add(in.clockStep) }
+	system.ClockSource.Wall = func() time.Time { return host.ClockSource.Wall().Add(in.clockStep) }
 	system.ReadFile = func(path string) ([]byte, error) {
 		if err := in.startFault(); err != nil {
 			return nil, err
 		}
 		return host.ReadFile(path)
 	}
-	system.OpenFolder = func(path string) (dispatcher.Folder, error) {
+	system.OpenFolder = func(path string) (dispatcher.StateFolder, error) {
 		if err := in.startFault(); err != nil {
 			return nil, err
 		}
@@ -213,7 +213,7 @@
 
 // faultyFolder is a folder with failing and slow writes.
 type faultyFolder struct {
-	dispatcher.Folder
+	dispatcher.StateFolder
 	*faultInjector
 }
 
@@ -222,13 +222,13 @@
 	if f.active(f.diskFaults) {
 		return nil, f.diskError("open")
 	}
-	file, err := f.Folder.Create(name)
+	file, err := f.StateFolder.Create(name)
 	return faultyFile{file, f.faultInjector}, err
 }
 
 // Open opens a file, also while the disk fails.
 func (f faultyFolder) Open(name string) (disk.File, error) {
-	file, err := f.Folder.Open(name)
+	file, err := f.StateFolder.Open(name)
 	return faultyFile{file, f.faultInjector}, err
 }
 
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -26,22 +26,22 @@
 
 // Options holds the settings of a soak run.
 type Options struct {
-	Command    fleet.Command // starts a dispatcher process that calls RunFaultyDispatcher
-	KeepDir    string        // directory that keeps the journal and the logs; "" for a temporary one
-	StepClocks bool          // whether the wall clocks of some processes are offset
+	Command      fleet.Command // starts a dispatcher process that calls RunFaultyDispatcher
+	KeepDir      string        // directory that keeps the journal and the logs; "" for a temporary one
+	OffsetClocks bool          // whether the wall clocks of some processes are offset
 }
 
 // Result is the result of a soak run with one seed.
 type Result struct {
-	Seed               uint64
-	DispatcherCount    int
-	Troubles           []string // the planned faults, in the order in which they were drawn
-	Findings           []string // violations of rules and invariants, crashes, slow starts, wrong answers to misbehaving clients
-	MisbehavingClients int      // checked visits of misbehaving clients
-	Overlaps           Overlaps // which kinds of faults were active together
-	EndpointCount      int      // endpoints listed at the start
-	Flooded            bool     // whether idle connections exhausted the file descriptors of some dispatchers
-	UnplannedStalls    []string // stalls that were not planned: the host was too busy for the findings to count
+	Seed            uint64
+	DispatcherCount int
+	Troubles        []string // the planned faults, in the order in which they were drawn
+	Findings        []string // violations of rules and invariants, crashes, slow starts, wrong answers to misbehaving clients
+	CheckedVisits   int      // checked visits of misbehaving clients
+	Overlaps        Overlaps // which kinds of faults were active together
+	EndpointCount   int      // endpoints listed at the start
+	HasFloods       bool     // whether idle connections exhausted the file descriptors of some dispatchers
+	UnplannedStalls []string // stalls that were not planned: the host was too busy for the findings to count
 	*report.Result
 }
 
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	stepClocks := "no"
-	if options.StepClocks {
+	if options.OffsetClocks {
 		stepClocks = "yes"
 	}
 	command := options.Command
@@ -75,13 +75,13 @@
 	if err != nil {
 		return nil, err
 	}
-	result := &Result{Seed: seed, DispatcherCount: s.Dispatchers.Count, Result: runResult, MisbehavingClients: hooks.clients.visits}
+	result := &Result{Seed: seed, DispatcherCount: s.Dispatchers.Count, Result: runResult, CheckedVisits: hooks.clients.visits}
 	for _, t := range s.Troubles {
 		result.Troubles = append(result.Troubles, describeTrouble(t))
 	}
 	result.Overlaps = countOverlaps(s)
 	result.EndpointCount = countEndpoints(s)
-	result.Flooded = len(plan.FloodedDispatchers) > 0
+	result.HasFloods = len(plan.FloodedDispatchers) > 0
 	for _, v := range runResult.Violations {
 		result.Findings = append(result.Findings, v.String())
 	}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -48,7 +48,7 @@
 // Runs short soaks: overlapping random faults must cause no findings. Findings do not count if the host was too busy.
 func TestSoak(t *testing.T) {
 	for _, seed := range shortSeeds {
-		r, err := Run(context.Background(), seed, 6, Options{Command: dispatcherCommand("child"), StepClocks: true})
+		r, err := Run(context.Background(), seed, 6, Options{Command: dispatcherCommand("child"), OffsetClocks: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,8 +59,8 @@
 			}
 			t.Errorf("seed %d: %s", seed, text)
 		}
-		if r.Totals.Accepted == 0 || r.Totals.Delivered*2 < r.Totals.Accepted || r.MisbehavingClients == 0 {
-			t.Errorf("seed %d: %d accepted, %d delivered, %d visits of misbehaving clients", seed, r.Totals.Accepted, r.Totals.Delivered, r.MisbehavingClients)
+		if r.Totals.Accepted == 0 || r.Totals.Delivered*2 < r.Totals.Accepted || r.CheckedVisits == 0 {
+			t.Errorf("seed %d: %d accepted, %d delivered, %d visits of misbehaving clients", seed, r.Totals.Accepted, r.Totals.Delivered, r.CheckedVisits)
 		}
 	}
 }
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -16,7 +16,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = folder.Close() })
-	l, pending, _, err := ledger.Open(folder, ledger.Options{Limit: limit})
+	l, pending, _, err := ledger.Open(folder, ledger.Options{LimitBytes: limit})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				l, pending, _, err := ledger.Open(folder, ledger.Options{Limit: limit, ReadOnly: true})
+				l, pending, _, err := ledger.Open(folder, ledger.Options{LimitBytes: limit, ReadOnly: true})
 				if err != nil || len(pending) != n {
 					b.Fatal(len(pending), err)
 				}
--- a/ledger/crash_test.go
+++ b/ledger/crash_test.go
@@ -44,7 +44,7 @@
 
 // openLedger opens the ledger in a folder and makes it the harness's ledger.
 func openLedger(folder *faulty.Folder, h *harness) (*ledger.Report, []ledger.Pending, error) {
-	l, pending, report, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+	l, pending, report, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 	if h.ledger = l; l != nil {
 		h.lastCall = l.LastCallNumber()
 	}
@@ -162,13 +162,13 @@
 		case !ok || e.lastWriteCrashed:
 		case p.Message.Pushes != e.pushes:
 			return fmt.Errorf("%s: want %d pushes, got %d", id, e.pushes, p.Message.Pushes)
-		case (p.Message.RanAt > 0) != (e.mayHaveRun || e.openCall > 0):
-			return fmt.Errorf("%s: want may have run %v, got RanAt %v", id, e.mayHaveRun || e.openCall > 0, p.Message.RanAt)
+		case (p.Message.FirstRunAt > 0) != (e.mayHaveRun || e.openCall > 0):
+			return fmt.Errorf("%s: want may have run %v, got FirstRunAt %v", id, e.mayHaveRun || e.openCall > 0, p.Message.FirstRunAt)
 		case (p.Notice != nil) != (e.notice != ""):
 			return fmt.Errorf("%s: notice restored: %v", id, p.Notice != nil)
 		}
-		if ok && e.lastWriteCrashed && e.mayHaveRun && p.Message.RanAt == 0 {
-			return fmt.Errorf("%s may have run, but was restored with RanAt 0", id)
+		if ok && e.lastWriteCrashed && e.mayHaveRun && p.Message.FirstRunAt == 0 {
+			return fmt.Errorf("%s may have run, but was restored with FirstRunAt 0", id)
 		}
 	}
 	return nil
@@ -179,7 +179,7 @@
 	h.expected, h.pendingIDs = map[string]*expectation{}, nil
 	for i, p := range pending {
 		h.pendingIDs = append(h.pendingIDs, p.Message.ID)
-		h.expected[p.Message.ID] = &expectation{accepted: true, order: i + 1 - len(pending), pushes: p.Message.Pushes, mayHaveRun: p.Message.RanAt > 0}
+		h.expected[p.Message.ID] = &expectation{accepted: true, order: i + 1 - len(pending), pushes: p.Message.Pushes, mayHaveRun: p.Message.FirstRunAt > 0}
 		if p.Notice != nil {
 			h.expected[p.Message.ID].notice = p.Notice.Outcome
 		}
@@ -361,17 +361,17 @@
 // the notifications accepted before the damage count as ones that may have run.
 func Example_damage() {
 	folder := faulty.New()
-	l, _, _, _ := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+	l, _, _, _ := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 	for _, r := range []ledger.Record{accepted("a", 5), accepted("b", 5), {Kind: ledger.CallStarted, ID: "b", StartedAt: 1001, Endpoint: "e1", CallNumber: 1}, accepted("c", 5)} {
 		_ = l.Write(r)
 	}
 	content := folder.Content("segment-000001")
 	offset := strings.Index(string(content), "e1")
 	content[offset] ^= 1
-	_, pending, report, err := ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit})
+	_, pending, report, err := ledger.Open(folder.Restart(), ledger.Options{LimitBytes: smallLimit})
 	fmt.Println(err, report.Damaged)
 	for _, p := range pending {
-		fmt.Println(p.Message.ID, "may have run:", p.Message.RanAt > 0)
+		fmt.Println(p.Message.ID, "may have run:", p.Message.FirstRunAt > 0)
 	}
 	// Output:
 	// <nil> [{segment-000001 164 32}]
@@ -395,13 +395,13 @@
 	// The CallNotRun record has no call number and could be of another process, so it is ignored.
 	const want = "open 1 1004 false not-run 1 1004 false notice 0 0 true "
 	openAndDescribe := func(folder *faulty.Folder) string {
-		_, pending, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+		_, pending, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 		if err != nil {
 			return err.Error()
 		}
 		description := ""
 		for _, p := range pending {
-			description += fmt.Sprint(p.Message.ID, " ", p.Message.Pushes, " ", p.Message.RanAt, " ", p.Notice != nil, " ")
+			description += fmt.Sprint(p.Message.ID, " ", p.Message.Pushes, " ", p.Message.FirstRunAt, " ", p.Notice != nil, " ")
 		}
 		return description
 	}
@@ -431,7 +431,7 @@
 // created, notifications are accepted until the existing files are full, and pending ones can still be completed.
 func TestSyncAndCreateErrors(t *testing.T) {
 	folder := faulty.New()
-	l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit, Sync: true})
+	l, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit, Sync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -461,7 +461,7 @@
 	if err := l.Write(ledger.Record{Kind: ledger.Completed, ID: "b"}); err != nil {
 		t.Fatal("writing a Completed record failed:", err)
 	}
-	_, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit})
+	_, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{LimitBytes: smallLimit})
 	if err != nil || len(pending) != acceptedCount+2 || pending[0].Message.ID != "a" || pending[1].Message.ID != "c" {
 		t.Fatal(err, len(pending), acceptedCount)
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -52,10 +52,10 @@
 // Report describes what Open found.
 type Report struct {
 	seglog.Report
-	Migrated       int `json:"taken_over,omitempty"` // records migrated from the legacy file
-	IgnoredRecords int `json:"strangers,omitempty"`  // records that are undecodable, or of a completed or unknown notification
-	Pending        int `json:"owed"`                 // number of pending notifications
-	LiveBytes      int `json:"live_bytes"`           // space charged for pending notifications, in bytes
+	MigratedRecords int `json:"taken_over,omitempty"` // records migrated from the legacy file
+	IgnoredRecords  int `json:"strangers,omitempty"`  // records that are undecodable, or of a completed or unknown notification
+	Pending         int `json:"owed"`                 // number of pending notifications
+	LiveBytes       int `json:"live_bytes"`           // space charged for pending notifications, in bytes
 }
 
 // segmentLayout returns the size and number of the segments for a folder of limit bytes.
@@ -67,9 +67,9 @@
 
 // Options configures a ledger.
 type Options struct {
-	Limit    int  // maximum total size of the files in whole blocks, in bytes
-	Sync     bool // sync records to disk before Write returns
-	ReadOnly bool // leave the folder unchanged
+	LimitBytes int  // maximum total size of the files in whole blocks, in bytes
+	Sync       bool // sync records to disk before Write returns
+	ReadOnly   bool // leave the folder unchanged
 }
 
 // Open reads the ledger and returns the pending notifications in the order in which they were accepted. A call that was
@@ -88,7 +88,7 @@
 			return fail(err)
 		}
 	}
-	segmentBytes, segmentCount := segmentLayout(options.Limit)
+	segmentBytes, segmentCount := segmentLayout(options.LimitBytes)
 	l.segmentCapacity = segmentBytes - seglog.HeaderSize
 	l.log, report.Report, err = seglog.Open(folder, seglog.Options{SegmentBytes: segmentBytes, MaxFiles: segmentCount, Sync: options.Sync, ReadOnly: options.ReadOnly},
 		func(segment int, b []byte) {
@@ -107,7 +107,7 @@
 		l.reserve() // failure is no error: on a full disk, pending notifications can still be completed
 	}
 	if legacy != nil {
-		if report.Migrated, err = l.migrateLegacy(folder, legacy); err != nil {
+		if report.MigratedRecords, err = l.migrateLegacy(folder, legacy); err != nil {
 			return fail(err)
 		}
 	}
@@ -141,8 +141,8 @@
 	return l.segmentCapacity / max(1, recordsPerSegment)
 }
 
-// BatchBytes returns the recommended size of the records in one Write. A batch of that size always fits in a segment.
-func (l *Ledger) BatchBytes() int {
+// RecommendedBatchBytes returns the recommended size of the records in one Write. A batch of that size always fits in a segment.
+func (l *Ledger) RecommendedBatchBytes() int {
 	const batchesPerSegment = 3 // number of batches of the recommended size per segment
 	return l.segmentCapacity / batchesPerSegment
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -36,14 +36,14 @@
 		panic(err)
 	}
 	defer folder.Close()
-	l, pending, _, err := ledger.Open(folder, ledger.Options{Limit: limit})
+	l, pending, _, err := ledger.Open(folder, ledger.Options{LimitBytes: limit})
 	if err != nil {
 		panic(err)
 	}
 	for _, p := range pending {
 		m := p.Message
 		fmt.Printf("%s %s %s %s %s %s %g, %d bytes: %d pushes, ran at %g %q", m.ID, m.Topic, m.Tenant, m.Dest, m.Key,
-			m.IdempotencyKey, m.ExpiresAt, len(m.Body), m.Pushes, m.RanAt, m.RanTo)
+			m.IdempotencyKey, m.ExpiresAt, len(m.Body), m.Pushes, m.FirstRunAt, m.FirstRunEndpoint)
 		if p.Notice != nil {
 			fmt.Printf(", notice %s %g", p.Notice.Outcome, p.Notice.RetryIn)
 		}
@@ -118,7 +118,7 @@
 	fmt.Println(len(pendingIDs), "pending, files below the limit:", maxUsage < limit)
 	fmt.Println(errors.Is(l.Write(accepted("large", limit)), ledger.ErrFull))
 	folder, _ := disk.OpenDir(dir)
-	_, pending, _, _ := ledger.Open(folder, ledger.Options{Limit: limit})
+	_, pending, _, _ := ledger.Open(folder, ledger.Options{LimitBytes: limit})
 	fmt.Println(len(pending), "restored, from", pending[0].Message.ID, "to", pending[len(pending)-1].Message.ID)
 	// Output:
 	// 21 pending, files below the limit: true
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -44,7 +44,7 @@
 // errTornRecord is returned for bytes that are not a complete and valid record.
 var errTornRecord = errors.New("torn or invalid record")
 
-// Records of earlier versions lack the fields added later: Accepted may end before AcceptedSeq, or before RanZone and RanCall,
+// Records of earlier versions lack the fields added later: Accepted may end before AcceptedSeq, or before FirstRunZone and FirstRunCall,
 // CallStarted before Zone, CallNotRun and CallMayHaveRun before CallNumber. Earlier versions ignore the additional fields.
 
 // encode appends the encoded record to b.
@@ -54,15 +54,15 @@
 	switch r.Kind {
 	case Accepted:
 		m := r.Message
-		for _, s := range []string{m.Topic, m.Tenant, m.Dest, m.Key, m.IdempotencyKey, m.RanTo} {
+		for _, s := range []string{m.Topic, m.Tenant, m.Dest, m.Key, m.IdempotencyKey, m.FirstRunEndpoint} {
 			b = appendString(b, s)
 		}
 		b = append(binary.AppendUvarint(b, uint64(len(m.Body))), m.Body...)
-		b = appendFloat(appendFloat(b, m.ExpiresAt), m.RanAt)
+		b = appendFloat(appendFloat(b, m.ExpiresAt), m.FirstRunAt)
 		b = binary.AppendUvarint(b, uint64(r.Pushes))
 		b = binary.AppendUvarint(b, uint64(r.AcceptedSeq))
-		if m.RanAt > 0 {
-			b = binary.AppendUvarint(appendString(b, m.RanZone), m.RanCall)
+		if m.FirstRunAt > 0 {
+			b = binary.AppendUvarint(appendString(b, m.FirstRunZone), m.FirstRunCall)
 		}
 	case Batch:
 		for _, part := range r.Parts {
@@ -91,16 +91,16 @@
 	case Accepted:
 		m := &message.Message{}
 		m.ID = r.ID
-		for _, s := range []*string{&m.Topic, &m.Tenant, &m.Dest, &m.Key, &m.IdempotencyKey, &m.RanTo} {
+		for _, s := range []*string{&m.Topic, &m.Tenant, &m.Dest, &m.Key, &m.IdempotencyKey, &m.FirstRunEndpoint} {
 			*s = f.readString()
 		}
 		m.Body = []byte(f.readString())
-		m.ExpiresAt, m.RanAt = f.readFloat(), f.readFloat()
+		m.ExpiresAt, m.FirstRunAt = f.readFloat(), f.readFloat()
 		if r.Message, r.Pushes = m, int(f.readUint()); len(f.remaining) > 0 { // the legacy file has no AcceptedSeq
 			r.AcceptedSeq = int(f.readUint())
 		}
 		if len(f.remaining) > 0 {
-			m.RanZone, m.RanCall = f.readString(), f.readUint()
+			m.FirstRunZone, m.FirstRunCall = f.readString(), f.readUint()
 		}
 	case Batch:
 		for len(f.remaining) > 0 {
--- a/ledger/restarts_test.go
+++ b/ledger/restarts_test.go
@@ -15,13 +15,13 @@
 	folder := faulty.New()
 	reopen := func() (*ledger.Ledger, ledger.Pending) {
 		folder = folder.Restart()
-		l, pending, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+		l, pending, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 		if err != nil || len(pending) != 1 {
 			t.Fatal(len(pending), err)
 		}
 		return l, pending[0]
 	}
-	first, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+	first, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 	}
 	for process := 2; process <= 4; process++ {
 		l, pending := reopen()
-		if pending.Message.RanAt != 1001 || pending.Message.RanTo != "e1" {
-			t.Fatalf("process %d: may have run at %g at %q", process, pending.Message.RanAt, pending.Message.RanTo)
+		if pending.Message.FirstRunAt != 1001 || pending.Message.FirstRunEndpoint != "e1" {
+			t.Fatalf("process %d: may have run at %g at %q", process, pending.Message.FirstRunAt, pending.Message.FirstRunEndpoint)
 		}
 		if err := l.Write(ledger.Record{Kind: ledger.CallNotRun, ID: "a"}); err != nil {
 			t.Fatal(err)
@@ -77,7 +77,7 @@
 		"records without call numbers":        {[][]ledger.Record{{callStarted(0, 1001, "e1", ""), callNotRun(0)}, {callStarted(3, 1004, "e2", "b"), callNotRun(3)}}, `1001 e1  0, 2 pushes`, ledger.EndNeverRan},
 	} {
 		folder := faulty.New()
-		l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+		l, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,19 +89,19 @@
 				t.Fatal(err)
 			}
 			folder = folder.Restart()
-			if l, _, _, err = ledger.Open(folder, ledger.Options{Limit: smallLimit}); err != nil {
+			if l, _, _, err = ledger.Open(folder, ledger.Options{LimitBytes: smallLimit}); err != nil {
 				t.Fatal(err)
 			}
 			if i < len(c.processes)-1 {
 				continue
 			}
 			for compactions := range 2 {
-				_, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit})
+				_, pending, _, err := ledger.Open(folder.Restart(), ledger.Options{LimitBytes: smallLimit})
 				if err != nil || len(pending) != 1 {
 					t.Fatal(len(pending), err)
 				}
 				m := pending[0].Message
-				if got := fmt.Sprintf("%g %s %s %d, %d pushes", m.RanAt, m.RanTo, m.RanZone, m.RanCall, m.Pushes); got != c.want {
+				if got := fmt.Sprintf("%g %s %s %d, %d pushes", m.FirstRunAt, m.FirstRunEndpoint, m.FirstRunZone, m.FirstRunCall, m.Pushes); got != c.want {
 					t.Errorf("%s, after %d compactions: got %s, want %s", name, compactions, got, c.want)
 				}
 				if compactions == 0 && pending[0].LastCall.End != c.last { // compaction drops the records of ended calls
@@ -119,7 +119,7 @@
 // compaction has rewritten the notification and released the damaged segment, in that process and later ones.
 func TestDamageSurvivesCompaction(t *testing.T) {
 	folder := faulty.New()
-	l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+	l, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,11 +132,11 @@
 	content[strings.Index(string(content), "e1")] ^= 1 // damages the CallStarted record
 	for process := 2; process <= 4; process++ {
 		folder = folder.Restart()
-		l, pending, report, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+		l, pending, report, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 		if err != nil || len(pending) != 2 {
 			t.Fatal(len(pending), err)
 		}
-		if pending[0].Message.RanAt == 0 {
+		if pending[0].Message.FirstRunAt == 0 {
 			t.Errorf("process %d: restored as not run, although it may have run", process)
 		}
 		if damaged := len(report.Damaged) > 0; damaged != (process == 2) {
@@ -160,7 +160,7 @@
 func TestCompactionDuringCall(t *testing.T) {
 	for _, ended := range []bool{true, false} {
 		folder := faulty.New()
-		l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+		l, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -183,13 +183,13 @@
 		}
 		for range 2 {
 			folder = folder.Restart()
-			_, pending, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+			_, pending, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 			if err != nil || len(pending) != 1 {
 				t.Fatal(len(pending), err)
 			}
 			m := pending[0].Message
-			if (m.RanAt == 0) != ended || m.Pushes != 1 || !ended && (m.RanZone != "z" || m.RanCall != 1) {
-				t.Errorf("ended %v: may have run at %g in %q by call %d, %d pushes", ended, m.RanAt, m.RanZone, m.RanCall, m.Pushes)
+			if (m.FirstRunAt == 0) != ended || m.Pushes != 1 || !ended && (m.FirstRunZone != "z" || m.FirstRunCall != 1) {
+				t.Errorf("ended %v: may have run at %g in %q by call %d, %d pushes", ended, m.FirstRunAt, m.FirstRunZone, m.FirstRunCall, m.Pushes)
 			}
 		}
 	}
@@ -201,7 +201,7 @@
 	const maxBytes = 1000 // more than the size of the write
 	for keptBytes := range maxBytes {
 		folder := faulty.New()
-		l, _, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+		l, _, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -219,7 +219,7 @@
 			t.Fatal("the write did not fail")
 		}
 		folder = folder.Restart()
-		l, pending, _, err := ledger.Open(folder, ledger.Options{Limit: smallLimit})
+		l, pending, _, err := ledger.Open(folder, ledger.Options{LimitBytes: smallLimit})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -235,7 +235,7 @@
 		if err := l.Write(accepted("after", 5), accepted("after that", 5)); err != nil {
 			t.Fatal(err)
 		}
-		if _, pending, _, err = ledger.Open(folder.Restart(), ledger.Options{Limit: smallLimit}); err != nil || len(pending) != 3 || pending[1].Message.ID != "after" {
+		if _, pending, _, err = ledger.Open(folder.Restart(), ledger.Options{LimitBytes: smallLimit}); err != nil || len(pending) != 3 || pending[1].Message.ID != "after" {
 			t.Fatalf("%d bytes stored: %d pending after the next write, %v", keptBytes, len(pending), err)
 		}
 	}
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -2,7 +2,7 @@
 
 import "orchiddrift/message"
 
-// unknownRunTime is the RanAt, in Unix seconds, of a push that may have run and whose record is lost. It is so long ago
+// unknownRunTime is the FirstRunAt, in Unix seconds, of a push that may have run and whose record is lost. It is so long ago
 // that no endpoint still stores the idempotency key.
 const unknownRunTime = 1
 
@@ -58,7 +58,7 @@
 	switch {
 	case p.Notice != nil:
 		return NoticeUnanswered
-	case p.Message.RanAt > 0:
+	case p.Message.FirstRunAt > 0:
 		return MayHaveRun
 	case p.Message.Pushes > 0:
 		return Tried
@@ -144,8 +144,8 @@
 		return
 	}
 	p.assumeOpenCallRan()
-	if p.Message.RanAt == 0 {
-		p.Message.RanAt = unknownRunTime
+	if p.Message.FirstRunAt == 0 {
+		p.Message.FirstRunAt = unknownRunTime
 	}
 }
 
@@ -159,8 +159,8 @@
 
 // markOpenCallMayHaveRun closes the open call as one that may have run. Only the first such call is kept in the message.
 func (p *Pending) markOpenCallMayHaveRun() {
-	if m := p.Message; m.RanAt == 0 {
-		m.RanAt, m.RanTo, m.RanZone, m.RanCall = p.openCall.StartedAt, p.openCall.Endpoint, p.openCall.Zone, p.openCall.CallNumber
+	if m := p.Message; m.FirstRunAt == 0 {
+		m.FirstRunAt, m.FirstRunEndpoint, m.FirstRunZone, m.FirstRunCall = p.openCall.StartedAt, p.openCall.Endpoint, p.openCall.Zone, p.openCall.CallNumber
 	}
 	p.openCall = nil
 }
@@ -169,8 +169,8 @@
 // start of a call. The drawback is that notifications that never ran and may not be repeated are given up.
 func (l *Ledger) assumeAllMayHaveRun() {
 	for _, p := range l.pending {
-		if p.Message.RanAt == 0 {
-			p.Message.RanAt = unknownRunTime
+		if p.Message.FirstRunAt == 0 {
+			p.Message.FirstRunAt = unknownRunTime
 		}
 	}
 }
--- a/message/message.go
+++ b/message/message.go
@@ -9,5 +9,5 @@
 	ExpiresAt      float64 // end of the TTL, in Unix seconds
 	IdempotencyKey string  // "" for none
 	Body           []byte
-	RanCall        uint64 // number of the call that RanAt refers to; 0 if unknown
+	FirstRunCall   uint64 // number of the call that FirstRunAt refers to; 0 if unknown
 }
--- a/settings/module.go
+++ b/settings/module.go
@@ -19,8 +19,8 @@
 	weightKind := s.oneOf("weight-kind", "", "silent", "nominal", "rough", "live")
 	scheduler := decide.New(seed, dir, s.topics(),
 		decide.Capacity{MaxCalls: s.Int("family-info.max-calls"), MaxHeld: s.Int("policy-limits.most-held"), BatchSize: s.BatchSizes()},
-		decide.Routes{SeparateByKind: s.SeparateRoutes(), FeeByZone: feeByZone, FreeRefusals: s.FloatOr("family-info.refusal-cost", 1) == 0},
-		decide.Recovery{InitialCapacity: s.Float("guarantees.cold-from"), WarmUp: s.Seconds("guarantees.cold-ms"),
+		decide.Routes{SeparateKinds: s.SeparateRoutes(), FeeByZone: feeByZone, FreeRefusals: s.FloatOr("family-info.refusal-cost", 1) == 0},
+		decide.Recovery{InitialCapacityShare: s.Float("guarantees.cold-from"), WarmUp: s.Seconds("guarantees.cold-ms"),
 			OverloadFactor: s.Float("guarantees.overload-factor"), OverloadSpan: s.Seconds("guarantees.fall-ms"),
 			Dispatchers: s.Int("balancers"), RatesUnlisted: weightKind == "silent"},
 		decide.PushPolicy{MaxPushes: s.Int("policy-limits.max-attempts"),
